--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 # Every parser of a wire, for as long as it is let; FUZZ=1m make fuzz
 fuzz:
 	go test -run '^$$' -fuzz FuzzParsers -fuzztime $${FUZZ:-30s} ./internal/pg
-	go test -run '^$$' -fuzz FuzzDiscovery -fuzztime $${FUZZ:-30s} ./internal/list
+	go test -run '^$$' -fuzz FuzzDiscovery -fuzztime $${FUZZ:-30s} ./internal/discovery
 	go test -run '^$$' -fuzz FuzzParse -fuzztime $${FUZZ:-30s} ./internal/termsfile
 
 # What terms of routes cost and bring, beside the last program without them: some five minutes, with the machine to itself.
@@ -28,7 +28,7 @@
 	go run ./internal/lab/routeterms -before bin/sedgestream-before
 	go run ./internal/lab/routeterms -before bin/sedgestream-before -only pair
 	go test -run '^$$' -bench . ./internal/decide/terms
-	go test -run '^$$' -bench Job -count 5 ./internal/desk
+	go test -run '^$$' -bench Job -count 5 ./internal/dispatch
 
 # What membership costs and how soon it knows, in simulated time and with up to 300 processes: some ten minutes, with the machine to itself.
 measure-members: build
--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,14 +1,14 @@
-// Package balance decides where each job goes, when it goes again and how it ends. To call it: Open a
-// router, tell it the list (Listing, Member, Listed, ListFailed, ListMoved), its jobs (Seat, Take, Left),
-// the endings of their trips (Ended) and of probes (Probed), and its alarm (Wake). It answers by calls on
-// Outside; that interface and the contract stand in types.go, what a router keeps in state.go.
+// Package balance decides where each request goes, when it goes again and how it ends. To call it: Open a
+// router, tell it the list (Listing, Member, Listed, ListFailed, ListMoved), its requests (Reserve, Accept, Left),
+// the endings of their attempts (Ended) and of probes (Probed), and its alarm (Wake). It answers by calls on
+// Actions; that interface and the settings stand in types.go, what a router keeps in state.go.
 //
 // The ordinary path is that of docs/design.md. Beside the design stand six mechanisms:
-//  1. room: how many trips a node can hold so that they take half their contract time on average.
-//  2. setting aside: a node that fails, or whose answers fail to come, is left alone for a while.
-//  3. second trips: a job that waits in vain goes again, where there is room to spare.
+//  1. room: how many attempts a node can hold so that they take half their target latency on average.
+//  2. ejection: a node that fails, or whose answers fail to come, is left alone for a while.
+//  3. second attempts: a request that waits in vain goes again, where there is room to spare.
 //  4. cold budget: a young node gets a share of what warm nodes bear.
-//  5. news: one router tells the others, or a job asks first; where nodes check, lag is presumed to stay.
+//  5. news: one router tells the others, or a request asks first; where nodes check, lag is presumed to stay.
 //  6. laggards first: reads that any member may answer go to replicas too far behind to serve others.
 package balance
 
@@ -19,45 +19,45 @@
 )
 
 const (
-	ease      = 0.5 // part of its contract time that a trip may take on average
+	ease      = 0.5 // part of its target latency that an attempt may take on average
 	firstRoom = 4.0 // grows by opens with each answer until time first goes up
 	opens     = 0.3
 	mostRoom  = 64.0     // no more is learnt from a node that holds so many
 	roomUp    = 1.02     // with each answer in time from a node at least half full
-	tooLate   = 3 * ease // what a trip counts as that is late and not answered
+	tooLate   = 3 * ease // what an attempt counts as that is late and not answered
 	quick     = 1.0 / 8  // weight of a new figure in a running mean
 	slow      = quick / 4
-	distrust  = 3       // failures in a row for a node to be set aside
-	passes    = 2       // a trip that its node has passed over so many times is overdue
+	distrust  = 3       // failures in a row for a node to be ejected
+	passes    = 2       // an attempt that its node has passed over so many times is overdue
 	coldPart  = 0.7     // of what pushes a cold node over that all routers together may send it
 	farther   = 1.0 / 8 // of its weight that a node of another zone counts
-	sweeps    = 16      // in the shortest contract time
-	holdShare = 0.2     // of a job's time for which it may be held
-	spare     = 0.5     // part of the room that second trips and reads strange to a primary may fill
+	sweeps    = 16      // in the shortest target latency
+	holdShare = 0.2     // of a request's time for which it may be held
+	spare     = 0.5     // part of the room that second attempts and reads strange to a primary may fill
 	calm      = 0.9     // busy cores of a laggard that still gets long reads
-	unseen    = 8.0     // trips on their way to a node that no news show yet, where many routers send
-	stir      = 2.0     // trips more or less at a node than told that are worth telling
-	tells     = 1.0 / 8 // trips of this router at a node, on average, for its own counts to tell much
-	probing   = 2.0     // probes for a job, when many routers share the traffic
+	unseen    = 8.0     // attempts on their way to a node that no news show yet, where many routers send
+	stir      = 2.0     // attempts more or less at a node than told that are worth telling
+	tells     = 1.0 / 8 // attempts of this router at a node, on average, for its own counts to tell much
+	probing   = 2.0     // probes for a request, when many routers share the traffic
 )
 
 var opened = room{size: firstRoom, opening: true}
 
 // Open starts a router.
-func Open(c *Contract, seed uint64, out Outside, now int64) *Router {
+func Open(c *Settings, seed uint64, out Actions, now int64) *Router {
 	r := &Router{out: out, chance: chance(seed&0x7fffffffffff | 1<<32 | 1), shared: opened,
 		marks: map[uint32][]int32{}, wakeAt: math.MaxInt64, looked: now}
-	r.Heed(c)
+	r.Apply(c)
 	r.listen(now)
 	r.ListMoved(now)
 	return r
 }
 
-// Heed has the jobs to come keep to a contract, and tells by which numbers Take knows its tariffs then. Jobs
-// in hand keep the tariffs that they came with; what is known of nodes stays.
-func (r *Router) Heed(c *Contract) (numbers []int) {
-	r.maxTrips, r.second, r.probes, r.check = c.MaxTrips, c.SecondTrips, c.Probes, c.NodesCheck
-	r.asideFor, r.grace, r.coldFor, r.span = 4*c.ConnectTimeout, c.DrainGrace/2, c.ColdFor, max(c.FallSpan, 1)
+// Apply has the requests to come keep to settings, and tells by which numbers Accept knows its classes then.
+// Jobs in hand keep the classes that they came with; what is known of nodes stays.
+func (r *Router) Apply(c *Settings) (numbers []int) {
+	r.maxAttempts, r.second, r.probes, r.check = c.MaxAttempts, c.SecondAttempts, c.Probes, c.NodesCheck
+	r.ejectFor, r.grace, r.coldFor, r.span = 4*c.ConnectTimeout, c.DrainGrace/2, c.ColdFor, max(c.FallSpan, 1)
 	r.startShare, r.perSpan, r.away = c.StartShare, coldPart*c.FallMultiple, c.LongestAbsence
 	r.goneMayServe, r.peers = c.GoneMayServe, c.RoutersTalk
 	if r.leastBackoff, r.mostBackoff = c.AskEvery/20, c.AskEvery/2; c.ListPushed { // asking costs nothing
@@ -68,17 +68,17 @@
 	r.leastBackoff = min(r.leastBackoff, r.mostBackoff)
 	r.asking, r.me, r.keep, r.zone = c.ListOnAsking, c.Me, c.KeepAlive, int32(c.Zone)
 	shortest, best, bound := int64(math.MaxInt64), 0.0, int64(math.MaxInt64)
-	for _, t := range c.Tariffs {
-		switch shortest = min(shortest, t.ContractTime); {
+	for _, t := range c.Classes {
+		switch shortest = min(shortest, t.Target); {
 		case t.Need >= Fresh:
-			best = max(best, t.Earnings)
+			best = max(best, t.Worth)
 		case t.Need == Bounded:
 			bound = min(bound, t.Bound)
 		}
 	}
-	for _, t := range c.Tariffs {
-		own := tariff{Tariff: t, usual: float64(t.ContractTime) / 4, share: spare + 0.75*t.Earnings/best}
-		own.farewell = c.Farewell(&t)
+	for _, t := range c.Classes {
+		own := class{Class: t, usual: float64(t.Target) / 4, share: spare + 0.75*t.Worth/best}
+		own.rejectFor = c.RejectFor(&t)
 		numbers = append(numbers, r.enter(own, len(numbers) == 0))
 	}
 	r.sweep = max(c.Tick, shortest/sweeps)
@@ -89,11 +89,12 @@
 	return numbers
 }
 
-// Farewell is for how long clients are asked away whose job can earn nothing any more, where that reaches to
-// their hard limit: there trips end with the contract time. Elsewhere clients come again, which is more work.
-func (c *Contract) Farewell(t *Tariff) int64 {
-	rest := t.HardLimit - t.ContractTime
-	if t.LateShare > 0 || t.Repeat != Reissuable || rest <= 0 || rest > c.LongestAbsence {
+// RejectFor is for how long clients are asked away whose request can earn nothing any more, where that
+// reaches to their deadline: there attempts end with the target latency. Elsewhere clients come again, which
+// is more work.
+func (c *Settings) RejectFor(t *Class) int64 {
+	rest := t.Deadline - t.Target
+	if t.LateShare > 0 || t.Repeat != Idempotent || rest <= 0 || rest > c.LongestAbsence {
 		return 0
 	}
 	return c.LongestAbsence
@@ -121,58 +122,58 @@
 	}
 }
 
-// again probes a node not heard of for so long, for a job that would use the news. Jobs pay for probes, so
-// that they don't grow with the number of routers. It harms where news gets old between jobs.
+// again probes a node not heard of for so long, for a request that would use the news. Requests pay for
+// probes, so that they don't grow with the number of routers. It harms where news gets old between requests.
 func (r *Router) again(n int32, quiet, now int64) {
 	m := &r.nodes[n]
 	if r.isTold(now) {
 		quiet = max(quiet, r.fade)
 	}
-	if r.purse >= 1 && now-m.shownAt >= quiet && now-m.probed >= quiet && now >= m.aside && r.open(m) {
-		r.purse--
+	if r.probeBudget >= 1 && now-m.shownAt >= quiet && now-m.probed >= quiet && now >= m.ejectedUntil && r.open(m) {
+		r.probeBudget--
 		r.probe(n, now)
 	}
 }
 
-// Take accepts the job at p. Its client waits for the time given; wrote is how long ago its session
+// Accept accepts the request at p. Its client waits for the time given; wrote is how long ago its session
 // wrote, 0 for never. The terms narrow what follows.
-func (r *Router) Take(now int64, p Place, t, g int, wait, wrote int64, terms *Terms) {
-	j := &r.jobs[p]
+func (r *Router) Accept(now int64, p Place, t, g int, wait, wrote int64, terms *Terms) {
+	j := &r.requests[p]
 	r.rouse(now)
-	if r.purse += probing; !r.sparse() && r.check || r.isTold(now) {
-		r.purse -= probing * (1 - quick/2)
+	if r.probeBudget += probing; !r.sparse() && r.check || r.isTold(now) {
+		r.probeBudget -= probing * (1 - quick/2)
 	} else if r.peers && r.sparse() { // all that would tell are silent, and all ask
-		r.purse -= probing / 2
+		r.probeBudget -= probing / 2
 	}
-	r.purse = min(r.purse, float64(len(r.group(g).members)))
-	*j = job{place: p, live: true, tariff: int32(t), group: int32(g), trips: j.trips[:0],
-		taken: now, wanted: now + min(wait, r.tariffs[t].ContractTime), limit: now + wait,
-		holdEnd: now + int64(holdShare*float64(wait)), most: r.maxTrips, terms: *terms}
-	if terms.Trips > 0 {
-		j.most = min(j.most, int(terms.Trips))
+	r.probeBudget = min(r.probeBudget, float64(len(r.group(g).members)))
+	*j = request{place: p, live: true, class: int32(t), group: int32(g), attempts: j.attempts[:0],
+		taken: now, wanted: now + min(wait, r.classes[t].Target), limit: now + wait,
+		holdEnd: now + int64(holdShare*float64(wait)), most: r.maxAttempts, terms: *terms}
+	if terms.Attempts > 0 {
+		j.most = min(j.most, int(terms.Attempts))
 	}
-	j.lot = r.lot()
+	j.draw = r.draw()
 	if wrote > 0 {
 		j.need = now - wrote
 	}
 	r.place(j, now)
 }
 
-// place sends a job on, holds it or ends it. One that can earn nothing any more isn't sent.
-func (r *Router) place(j *job, now int64) {
-	t := &r.tariffs[j.tariff]
+// place sends a request on, holds it or ends it. One that can earn nothing any more isn't sent.
+func (r *Router) place(j *request, now int64) {
+	t := &r.classes[j.class]
 	late := now + int64(t.usual/2)
 	if t.LateShare == 0 && late > j.wanted {
-		r.giveUp(j, now, t.farewell)
+		r.giveUp(j, now, t.rejectFor)
 		return
 	} else if j.terms.Refused || !r.mayRepeat(j, now) || late > j.limit {
 		r.giveUp(j, now, 0)
 		return
 	}
-	// A job waits a moment for news on its way: of the load of two members, where nobody tells a sparse router;
-	// of positions, where no replica is known fresh enough. Else routers crowd above all the primaries.
+	// A request waits a moment for news on its way: of the load of two members, where nobody tells a sparse
+	// router; of positions, where no replica is known fresh enough. Else routers crowd above all the primaries.
 	soon := now < j.taken+2*r.sweep
-	if soon && len(j.trips) == 0 && r.sparse() && !r.isTold(now) && now-r.summedAt >= r.fade {
+	if soon && len(j.attempts) == 0 && r.sparse() && !r.isTold(now) && now-r.summedAt >= r.fade {
 		j.held = r.ask(j, 2-2*j.asked, r.fade/4, now)
 		j.asked = 1
 	}
@@ -194,14 +195,14 @@
 	}
 }
 
-// ask probes members that the job may go to, so many at most from a random one on and as far as the purse
-// goes, and tells whether any news of the group is due.
-func (r *Router) ask(j *job, most int, quiet, now int64) (due bool) {
+// ask probes members that the request may go to, so many at most from a random one on and as far as the probe
+// budget goes, and tells whether any news of the group is due.
+func (r *Router) ask(j *request, most int, quiet, now int64) (due bool) {
 	members, primary := r.groups[j.group].members, r.primary(j.group, now)
 	at := int(r.chance.below(int64(len(members))))
 	for k := range members {
 		n := members[(at+k)%len(members)]
-		if most > 0 && (n != primary) == (r.tariffs[j.tariff].Need < Fresh) {
+		if most > 0 && (n != primary) == (r.classes[j.class].Need < Fresh) {
 			most--
 			r.again(n, quiet, now)
 		}
@@ -211,8 +212,8 @@
 }
 
 // replica is the design's choice among those known to be fresh enough, and tells whether there was any.
-func (r *Router) replica(j *job, now int64) (best int32, fresh bool) {
-	t := &r.tariffs[j.tariff]
+func (r *Router) replica(j *request, now int64) (best int32, fresh bool) {
+	t := &r.classes[j.class]
 	best = -1
 	top, ties, primary := 0.0, int64(0), r.primary(j.group, now)
 	for _, n := range r.groups[j.group].members {
@@ -222,7 +223,7 @@
 		} else if n != primary && t.Need != Any {
 			r.again(n, r.refresh, now)
 		}
-		if n == primary || m.role == Primary && m.roleAt > now-r.asideFor || !r.open(m) || !m.trusted(now) ||
+		if n == primary || m.role == Primary && m.roleAt > now-r.ejectFor || !r.open(m) || !m.trusted(now) ||
 			j.tried(n) || !r.holds(m, j, now) {
 			continue
 		}
@@ -236,13 +237,13 @@
 		if r.sparse() && m.answers > 0 && now-m.heard < r.keep { // it has a connection there
 			score *= 2
 		}
-		// Guards against a way between zones that turns slow and loses jobs; harms where the own has few nodes.
+		// Guards against a way between zones that turns slow and loses requests; harms where the own has few nodes.
 		if !r.near(m) {
 			score *= farther
 		}
 		// Laggards first, the furthest behind before others: it serves none but these reads, and a long read that
-		// stops its node's apply costs least there. Guards against replicas lagging in turn. It harms if it is
-		// slow as well: hence only while its cores aren't all busy, or answers take under half their contract time.
+		// stops its node's apply costs least there. Guards against replicas lagging in turn. It harms if it is slow
+		// as well: hence only while its cores aren't all busy, or answers take under half their target latency.
 		if laggard {
 			score += float64(m.lag)
 		}
@@ -257,46 +258,47 @@
 	return best, fresh
 }
 
-// pull is the design's weight / (1 + trips). Sparse routers all know the same old news, and would crowd the
-// emptiest node till the next: they draw lots in proportion, and reckon with trips that no news show yet.
+// pull is the design's weight / (1 + attempts). Sparse routers all know the same old news, and would crowd
+// the emptiest node till the next: they draw at random in proportion, and reckon with attempts that no news
+// show yet.
 func (r *Router) pull(m *node, now int64) float64 {
 	weight, crowd := m.strength(now, r.fade)*r.warmth(m, now), r.crowd(m, now)
 	if !r.sparse() {
 		return weight / (1 + crowd)
 	}
-	return weight / (unseen + crowd) / -math.Log(1-r.lot())
+	return weight / (unseen + crowd) / -math.Log(1-r.draw())
 }
 
-func (r *Router) lot() float64 { return float64(1+r.chance.below(1<<20)) / (2 + 1<<20) } // from 0 to 1
+func (r *Router) draw() float64 { return float64(1+r.chance.below(1<<20)) / (2 + 1<<20) } // from 0 to 1
 
-// sparse tells whether the router has so few trips out at a node, on average, that they tell little.
+// sparse tells whether the router has so few attempts out at a node, on average, that they tell little.
 func (r *Router) sparse() bool { return r.borne < tells*float64(r.span) }
 
 // fits tells whether the node can hold one more, of the given part of its room: its own, or where the router
-// has too few trips to learn that, one learnt from all. Second trips take only spare room. Clients that wait
-// less get less, else their repeats crowd out patient ones. By lot it ends up to twice as far at sparse
-// routers: else all stop and begin together with each news.
-func (r *Router) fits(m *node, j *job, part float64, now int64) bool {
-	t, room := &r.tariffs[j.tariff], m.room.size
+// has too few attempts to learn that, one learnt from all. Second attempts take only spare room. Clients that
+// wait less get less, else their repeats crowd out patient ones. At random it ends up to twice as far at
+// sparse routers: else all stop and begin together with each news.
+func (r *Router) fits(m *node, j *request, part float64, now int64) bool {
+	t, room := &r.classes[j.class], m.room.size
 	if r.sparse() {
 		room = r.shared.size
 	}
 	if room *= part; j.out > 0 {
 		room *= spare
 	} else {
-		room *= min(1, float64(j.limit-now)/float64(t.ContractTime))
+		room *= min(1, float64(j.limit-now)/float64(t.Target))
 	}
-	if t.Need < Fresh { // all of it for the tariff that earns most for its work, half at the least
-		room *= spare + (1-spare)*min(1, t.Earnings/t.usual/r.dearest)
+	if t.Need < Fresh { // all of it for the class that earns most for its work, half at the least
+		room *= spare + (1-spare)*min(1, t.Worth/t.usual/r.dearest)
 	}
 	most := room
 	if r.sparse() {
-		most *= 2 * math.Sqrt(1-j.lot)
+		most *= 2 * math.Sqrt(1-j.draw)
 	}
-	return min(j.lot, 1-quick) < room && r.crowd(m, now) < most && r.bears(m, j, now)
+	return min(j.draw, 1-quick) < room && r.crowd(m, now) < most && r.bears(m, j, now)
 }
 
-// crowd is how many trips a node is thought to hold: this router's own, and where those tell little also
+// crowd is how many attempts a node is thought to hold: this router's own, and where those tell little also
 // what the node showed last, which fades. A node that shows too little is told by its strain.
 func (r *Router) crowd(m *node, now int64) float64 {
 	own := m.held + m.ghosts
@@ -307,11 +309,11 @@
 }
 
 // holds tells whether a replica is known, or where nodes check for themselves presumed, to have what the
-// job must see. Presumption is for sites whose reports are nearly as old as the bound; being wrong costs
+// request must see. Presumption is for sites whose reports are nearly as old as the bound; being wrong costs
 // a miss, and that ends it until there is news, or for a while if the miss told no position.
-func (r *Router) holds(m *node, j *job, now int64) bool {
+func (r *Router) holds(m *node, j *request, now int64) bool {
 	need := j.need
-	switch t := &r.tariffs[j.tariff]; {
+	switch t := &r.classes[j.class]; {
 	case t.Need == Bounded:
 		need = now - t.Bound
 	case t.Need == Any || need == 0:
@@ -322,7 +324,7 @@
 }
 
 // open tells whether the list leaves a node open to new work. Where draining alone binds, one called gone
-// without it is: guards against lists that lose nodes which serve. Its trips tell if it is gone indeed.
+// without it is: guards against lists that lose nodes which serve. Its attempts tell if it is gone indeed.
 func (r *Router) open(m *node) bool {
 	return m.standing == In || r.goneMayServe && m.standing == Gone && !m.drained
 }
@@ -333,19 +335,19 @@
 	return r.open(m) || now <= m.told+2*r.grace
 }
 
-// Begins tells whether a trip that has waited for its connection may begin now: its node admits it and still
-// holds what it must see, and a repeat is in the window of the trips before it.
+// Begins tells whether an attempt that has waited for its connection may begin now: its node admits it and
+// still holds what it must see, and a repeat is in the window of the attempts before it.
 func (r *Router) Begins(now int64, p Place, leg int) bool {
-	j := &r.jobs[p]
-	k, t, first := &j.trips[leg], &r.tariffs[j.tariff], j.mayHaveRun(leg)
+	j := &r.requests[p]
+	k, t, first := &j.attempts[leg], &r.classes[j.class], j.mayHaveRun(leg)
 	m := &r.nodes[k.node]
-	return r.Admits(now, int(k.node)) && (first == nil || t.Repeat != Numbered || now <= first.sent+t.Window) &&
+	return r.Admits(now, int(k.node)) && (first == nil || t.Repeat != Deduplicated || now <= first.sent+t.Window) &&
 		(r.check || t.Need >= Fresh || m.role == Primary || r.holds(m, j, now))
 }
 
-// trusted tells whether a node is not set aside. After failures it proves itself by one trip at a time.
+// trusted tells whether a node is not ejected. After failures it proves itself by one attempt at a time.
 func (m *node) trusted(now int64) bool {
-	return now >= max(m.aside, m.shunned) && (m.failures < distrust || m.held == 0)
+	return now >= max(m.ejectedUntil, m.bannedUntil) && (m.failures < distrust || m.held == 0)
 }
 
 // primary is the member whose latest evidence says so, else the one listed with nothing against it, or -1.
@@ -363,11 +365,11 @@
 	return best
 }
 
-// toPrimary sends a job to the primary, or holds it while there is none. Of a full primary, reads that no
-// replica can serve get least and the tariff with the highest earnings most, so that writes survive
+// toPrimary sends a request to the primary, or holds it while there is none. Of a full primary, reads that no
+// replica can serve get least and the class with the highest worth most, so that writes survive
 // replicas lagging all at once.
-func (r *Router) toPrimary(j *job, now int64) {
-	t := &r.tariffs[j.tariff]
+func (r *Router) toPrimary(j *request, now int64) {
+	t := &r.classes[j.class]
 	if n := r.primary(j.group, now); n >= 0 {
 		m, share := &r.nodes[n], t.share
 		if j.fallback {
@@ -375,7 +377,7 @@
 		}
 		switch {
 		case !m.trusted(now):
-		case j.out > 0 && j.triedOut(n): // a second trip would do the same work there twice
+		case j.out > 0 && j.isOutAt(n): // a second attempt would do the same work there twice
 			return
 		case r.fits(m, j, share, now):
 			r.send(j, n, now)
@@ -398,10 +400,10 @@
 }
 
 // nextMember is where a write goes on its round while no primary is known: to the one with most of the log,
-// not tried yet and not just shown to be a replica. The last trips are for after it.
-func (r *Router) nextMember(j *job, now int64) int32 {
+// not tried yet and not just shown to be a replica. The last attempts are for after it.
+func (r *Router) nextMember(j *request, now int64) int32 {
 	best, top := int32(-1), int64(-1)
-	if r.tariffs[j.tariff].Need != Write || len(j.trips) >= j.most-2 {
+	if r.classes[j.class].Need != Write || len(j.attempts) >= j.most-2 {
 		return best
 	}
 	for _, n := range r.groups[j.group].members {
@@ -417,26 +419,26 @@
 // bears tells whether a young node may be sent so much more work: over the rule's span, its warmth's
 // share of what warm nodes bear on average, so that all routers together stay under what it can do. Guards
 // the cold rule for replicas and a young primary; it harms where traffic has just jumped.
-func (r *Router) bears(m *node, j *job, now int64) bool {
+func (r *Router) bears(m *node, j *request, now int64) bool {
 	w, part := r.warmth(m, now), 1.0
 	if w >= 1 {
 		return true
 	}
-	usual := r.tariffs[j.tariff].usual
+	usual := r.classes[j.class].usual
 	if now < m.lentUntil {
 		r.decay(m, now)
 		return m.work+usual <= m.lent
 	} else if now < m.keptUntil {
 		part = m.kept
 	}
-	// A router with less than a job in the span goes by lot instead: young nodes get so many of its jobs
-	// that one of them bears them even as the last of all that its group had, and clients ask again.
+	// A router with less than a request in the span goes at random instead: young nodes get so many of its
+	// requests that one of them bears them even as the last of all that its group had, and clients ask again.
 	if r.sparse() {
 		share := 1.0 // of writes and fresh reads; what a primary gets besides is what replicas would
 		if m.role != Primary || j.fallback {
 			share = max(1, r.groups[m.group].most-1)
 		}
-		return j.lot*share < spare*r.perSpan*w*part
+		return j.draw*share < spare*r.perSpan*w*part
 	}
 	r.decay(m, now)
 	return m.work+usual <= part*r.ownShare(m, now)
@@ -448,13 +450,13 @@
 }
 
 // Share is that of a node, what this router could use of it, its part of what it sends the others, and
-// the least that any job takes. No share: it is not young.
+// the least that any request takes. No share: it is not young.
 func (r *Router) Share(now int64, n int) (share, want, least float64) {
 	if m := &r.nodes[n]; m.group >= 0 && r.warmth(m, now) < 1 && r.open(m) {
 		r.rouse(now)
 		share, want, least = r.ownShare(m, now), r.borne*m.weight, math.MaxFloat64
-		for i := range r.tariffs {
-			if t := &r.tariffs[i]; !t.past {
+		for i := range r.classes {
+			if t := &r.classes[i]; !t.retired {
 				least = min(least, t.usual)
 			}
 		}
@@ -462,66 +464,66 @@
 	return share, max(want, least), least
 }
 
-// Shun sets a replica aside until then, by what many routers have seen.
-func (r *Router) Shun(now int64, n int, until int64) {
+// Eject sets a replica aside until then, by what many routers have seen.
+func (r *Router) Eject(now int64, n int, until int64) {
 	if m := &r.nodes[n]; m.role != Primary {
-		m.shunned = until
+		m.bannedUntil = until
 	}
 }
 
-// mayRepeat tells whether another trip is allowed by the job's tariff, wherever it goes in its group.
-func (r *Router) mayRepeat(j *job, now int64) bool {
-	if j.over || len(j.trips) >= j.most || j.out > 0 && (!r.second || j.terms.NoCopies) || now >= j.limit {
+// mayRepeat tells whether another attempt is allowed by the request's class, wherever it goes in its group.
+func (r *Router) mayRepeat(j *request, now int64) bool {
+	if j.over || len(j.attempts) >= j.most || j.out > 0 && (!r.second || j.terms.NoCopies) || now >= j.limit {
 		return false
 	}
-	t, first := &r.tariffs[j.tariff], j.mayHaveRun(-1)
-	return first == nil || t.Repeat == Reissuable || t.Repeat == Numbered && now <= first.sent+t.Window
+	t, first := &r.classes[j.class], j.mayHaveRun(-1)
+	return first == nil || t.Repeat == Idempotent || t.Repeat == Deduplicated && now <= first.sent+t.Window
 }
 
-// circled tells whether the node is in the circle that discards repeats of the job; none leaves its group.
-func (r *Router) circled(j *job, n int32) bool {
-	t, first := &r.tariffs[j.tariff], j.mayHaveRun(-1)
-	return !j.terms.InZone && (t.Repeat != Numbered || t.Circle != OfZone) || first == nil ||
+// circled tells whether the node is in the scope that discards repeats of the request; none leaves its group.
+func (r *Router) circled(j *request, n int32) bool {
+	t, first := &r.classes[j.class], j.mayHaveRun(-1)
+	return !j.terms.InZone && (t.Repeat != Deduplicated || t.Scope != OfZone) || first == nil ||
 		r.nodes[first.node].zone == r.nodes[n].zone
 }
 
-func (r *Router) send(j *job, n int32, now int64) {
-	m, t := &r.nodes[n], &r.tariffs[j.tariff]
-	if !r.circled(j, n) || len(j.trips) > 0 && j.terms.Counted && !r.out.Grant(j.place, j.out > 0) {
+func (r *Router) send(j *request, n int32, now int64) {
+	m, t := &r.nodes[n], &r.classes[j.class]
+	if !r.circled(j, n) || len(j.attempts) > 0 && j.terms.Counted && !r.out.Grant(j.place, j.out > 0) {
 		r.giveUp(j, now, 0)
 		return
 	}
 	if m.held == 0 {
 		m.heard = now
 	}
-	k := trip{node: n, out: true, answers: m.answers, among: m.held + m.ghosts, crowd: r.crowd(m, now),
+	k := attempt{node: n, out: true, answers: m.answers, among: m.held + m.ghosts, crowd: r.crowd(m, now),
 		sent: now, then: (*Router).afterTrip}
-	j.trips = append(j.trips, k)
+	j.attempts = append(j.attempts, k)
 	j.out++
 	m.held++
 	r.decay(m, now)
 	m.work += t.usual
 	until := j.limit
-	if j.terms.TripTime > 0 {
-		until = min(until, now+j.terms.TripTime)
-	} else if j.terms.TripShare > 0 {
-		until = min(until, now+(until-now)*j.terms.TripShare/Whole)
+	if j.terms.AttemptTime > 0 {
+		until = min(until, now+j.terms.AttemptTime)
+	} else if j.terms.AttemptShare > 0 {
+		until = min(until, now+(until-now)*j.terms.AttemptShare/Whole)
 	}
-	if t.farewell > 0 {
+	if t.rejectFor > 0 {
 		until = min(until, j.wanted)
 	}
 	r.out.Submit(j.place, int(n), until)
 }
 
-// Ended takes in a trip's ending. If settled, the client has had its answer.
-func (r *Router) Ended(now int64, p Place, leg int, e Ending, settled bool, took int64, note Note,
+// Ended takes in an attempt's ending. If settled, the client has had its answer.
+func (r *Router) Ended(now int64, p Place, leg int, e Outcome, settled bool, took int64, note Note,
 	rep Report) {
-	j := &r.jobs[p]
-	if !j.live || leg < 0 || leg >= len(j.trips) || !j.trips[leg].out {
+	j := &r.requests[p]
+	if !j.live || leg < 0 || leg >= len(j.attempts) || !j.attempts[leg].out {
 		return
 	}
-	k := &j.trips[leg]
-	m, t := &r.nodes[k.node], &r.tariffs[j.tariff]
+	k := &j.attempts[leg]
+	m, t := &r.nodes[k.node], &r.classes[j.class]
 	k.out, k.ending = false, e
 	if j.out--; !k.lost {
 		m.held--
@@ -529,17 +531,17 @@
 	if e <= Full || e == Failed {
 		m.alive(now)
 	}
-	if e > Done && e <= Moot && r.warmth(m, now) >= 1 { // what was turned away shows not what nodes bear
+	if e > Succeeded && e <= NotSent && r.warmth(m, now) >= 1 { // what was turned away shows not what nodes bear
 		m.work = max(0, m.work-t.usual)
 	}
 	switch e {
-	case Done:
-		m.failures, m.aside, m.served = 0, 0, now
+	case Succeeded:
+		m.failures, m.ejectedUntil, m.served = 0, 0, now
 		m.ghosts -= m.ghosts / (1 + m.held)
 		m.answers++
 		t.usual += slow * (float64(took) - t.usual)
 		if !k.late {
-			r.learn(m, k.crowd+1, float64(took)/float64(t.ContractTime))
+			r.learn(m, k.crowd+1, float64(took)/float64(t.Target))
 		}
 	case Full:
 		// Where the room is that of all nodes, one full node says nothing of it, but shows itself full.
@@ -550,23 +552,23 @@
 		}
 	case Unreachable, Broken, Failed:
 		// One of these is no outage: guards against links that break now and then. Several in a row are, but for
-		// broken links while answers come over others: else many links that break set aside a node that serves.
-		if e == Failed || m.failures < distrust-1 || now-m.served >= r.asideFor/4 {
+		// broken links while answers come over others: else many links that break ejected a node that serves.
+		if e == Failed || m.failures < distrust-1 || now-m.served >= r.ejectFor/4 {
 			r.failed(m, now, 1)
 		}
 		m.unreached = m.unreached || e != Failed && m.failures >= distrust
-	case TimedOut, Revoked:
+	case TimedOut, Canceled:
 		if !k.lost {
 			m.ghosts++
 		}
 		if !k.late && e == TimedOut { // a client that waits briefly: it would have taken longer
-			r.learn(m, k.crowd+1, min(tooLate, 2*float64(took)/float64(t.ContractTime)))
+			r.learn(m, k.crowd+1, min(tooLate, 2*float64(took)/float64(t.Target)))
 		}
-		// late does not see silence in trips that end sooner than that.
-		silent := !k.late && m.heard <= k.sent && now >= m.aside
-		if silent && j.terms.TripTime+j.terms.TripShare > 0 {
+		// late does not see silence in attempts that end sooner than that.
+		silent := !k.late && m.heard <= k.sent && now >= m.ejectedUntil
+		if silent && j.terms.AttemptTime+j.terms.AttemptShare > 0 {
 			r.failed(m, now, 1)
-		} else if silent && now >= j.wanted && t.farewell > 0 {
+		} else if silent && now >= j.wanted && t.rejectFor > 0 {
 			r.failed(m, now, distrust)
 		}
 	}
@@ -583,11 +585,11 @@
 	r.vacate(p)
 }
 
-func (r *Router) afterTrip(j *job, e Ending, now int64) {
+func (r *Router) afterTrip(j *request, e Outcome, now int64) {
 	if j.out > 0 && e != Miss && e != Full {
 		return
 	}
-	t := &r.tariffs[j.tariff]
+	t := &r.classes[j.class]
 	switch pause := r.pause(j); {
 	case pause > 0 && t.LateShare == 0 && now+pause+int64(t.usual/2) > j.wanted,
 		j.terms.Again != 0 && j.terms.Again>>e&1 == 0, pause > 0 && !r.mayRepeat(j, now+pause):
@@ -599,14 +601,14 @@
 	}
 }
 
-// pause is for how long the job's terms keep it from its next trip, which doubles with each.
-func (r *Router) pause(j *job) int64 {
+// pause is for how long the request's terms keep it from its next attempt, which doubles with each.
+func (r *Router) pause(j *request) int64 {
 	t := &j.terms
 	p := t.Pause
 	if p == 0 {
 		return 0
 	}
-	for n := len(j.trips); n > 1 && p < j.limit-j.taken && (t.MostPause == 0 || p < t.MostPause); n-- {
+	for n := len(j.attempts); n > 1 && p < j.limit-j.taken && (t.MostPause == 0 || p < t.MostPause); n-- {
 		p *= 2
 	}
 	if t.MostPause > 0 {
@@ -615,12 +617,13 @@
 	return p - r.chance.below(p*t.Jitter/Whole)
 }
 
-// learn takes in how long a trip took, as a part of its contract time, with so many trips at the node. Where
-// time goes up with their number, room follows it to that at which a trip takes half its contract time.
-// Guards against overload, slow nodes, other routers' traffic; harms where time goes up for all.
+// learn takes in how long an attempt took, as a part of its target latency, with so many attempts at the
+// node. Where time goes up with their number, room follows it to that at which an attempt takes half its
+// target latency. Guards against overload, slow nodes, other routers' traffic; harms where time goes up for
+// all.
 func (r *Router) learn(m *node, among, part float64) {
 	if m.room.learn(among, part, 1); r.sparse() {
-		r.shared.learn(among, part, quick) // by lot, less than one trip
+		r.shared.learn(among, part, quick) // at random, less than one attempt
 	}
 }
 
@@ -664,41 +667,41 @@
 }
 
 // failed counts failures and, when there are too many, sets the node aside for a fixed time and a random
-// part, so that routers don't return together. A router with few trips takes one for three, and stays away
+// part, so that routers don't return together. A router with few attempts takes one for three, and stays away
 // for longer, as all routers' tries add up: guards against nodes that hang or age among hundreds of routers.
-// It harms when long jobs are taken for silence.
+// It harms when long requests are taken for silence.
 func (r *Router) failed(m *node, now int64, sparsely int) {
-	span := r.asideFor
+	span := r.ejectFor
 	if r.sparse() && m.role != Primary {
 		m.failures, span = m.failures+sparsely-1, max(span, r.coldFor/2)
 	}
 	if m.failures++; m.failures >= distrust {
 		r.out.Log(int(m.self), "set aside")
-		m.aside = now + span + r.chance.below(span)
+		m.ejectedUntil = now + span + r.chance.below(span)
 	}
 }
 
-// giveUp ends a job at once, unless a trip of it may still bring an answer: bounced where a retry is
-// harmless, terminated elsewhere.
-func (r *Router) giveUp(j *job, now, away int64) {
+// giveUp ends a request at once, unless an attempt of it may still bring an answer: rejected where a retry is
+// harmless, failed elsewhere.
+func (r *Router) giveUp(j *request, now, away int64) {
 	if j.over || j.out > 0 && now < j.limit {
 		return
 	}
 	if j.over, away = true, max(away, j.terms.AwayLeast); j.terms.AwayMost > 0 {
 		away = min(away, j.terms.AwayMost)
 	}
-	t := &r.tariffs[j.tariff]
-	if t.Repeat == Reissuable || j.mayHaveRun(-1) == nil || t.Repeat == Numbered && t.Circle == OfAll {
-		r.out.Bounce(j.place, away)
+	t := &r.classes[j.class]
+	if t.Repeat == Idempotent || j.mayHaveRun(-1) == nil || t.Repeat == Deduplicated && t.Scope == OfAll {
+		r.out.Reject(j.place, away)
 	} else {
-		r.out.Terminate(j.place)
+		r.out.Fail(j.place)
 	}
 	r.vacate(j.place)
 }
 
-// Left tells that the job's client has gone; nothing more is owed.
+// Left tells that the request's client has gone; nothing more is owed.
 func (r *Router) Left(p Place) {
-	r.jobs[p].over = true
+	r.requests[p].over = true
 	r.vacate(p)
 }
 
@@ -706,9 +709,9 @@
 	r.speaking, r.echoed, r.gap, r.tellAt, r.speakAt = false, false, 0, 0, now+r.fade+r.chance.below(4*r.fade)
 }
 
-// speak asks all nodes in turn and tells the others, where many routers have few trips each: so that one
+// tell asks all nodes in turn and tells the others, where many routers have few attempts each: so that one
 // asks for all. Whoever hears nobody begins after a random time, and yields to one with a lower number.
-func (r *Router) speak(now int64) {
+func (r *Router) tell(now int64) {
 	switch {
 	case !r.peers || !r.sparse():
 	case now >= r.speakAt:
@@ -716,7 +719,7 @@
 		// routers asking all nodes and telling all others where words are lost.
 		r.gap = min(max(2*r.gap, r.fade*3/4), 16*r.fade)
 		if r.speaking, r.speakAt = true, now+r.gap; !r.echoed {
-			r.knock(now)
+			r.ping(now)
 			return
 		}
 		r.echoed, r.tellAt, r.toldAt = false, now+2*r.sweep, now
@@ -727,7 +730,7 @@
 		}
 	case r.speaking && r.tellAt > 0 && now >= r.tellAt:
 		r.tellAt = 0
-		r.tellNews(now)
+		r.tellReports(now)
 	}
 }
 
@@ -744,16 +747,16 @@
 
 // Heard takes in what another router tells. It only ever is news of nodes that the own list has named.
 func (r *Router) Heard(now int64, from int, words []byte) {
-	if r.asked(now, from, words) {
+	if r.answerPing(now, from, words) {
 		return
 	}
 	if r.toldAt = now; r.speaking {
 		r.gap, r.echoed, r.speakAt = 0, true, min(r.speakAt, r.speakAt-r.gap+r.period)
 	}
-	if r.hearNews(now, words) && (!r.speaking || from < r.me) {
+	if r.hearReport(now, words) && (!r.speaking || from < r.me) {
 		if r.listen(now); now >= r.echoAt {
 			r.echoAt = now + r.chance.below(2*r.fade)
-			r.out.Tell(from, heading(now))
+			r.out.Tell(from, appendHeader(now))
 		}
 	}
 	r.rouse(now)
@@ -762,8 +765,8 @@
 // Probed takes in a probe's result.
 func (r *Router) Probed(now int64, n int, ok bool, rep Report) {
 	m := &r.nodes[n]
-	// A probe that fails says nothing of trips: it may have been one of too many at once, or be all that
-	// fails there. Nodes that serve nothing show it by their trips.
+	// A probe that fails says nothing of attempts: it may have been one of too many at once, or be all that
+	// fails there. Nodes that serve nothing show it by their attempts.
 	if m.probing = false; ok {
 		r.reported(m, now, rep)
 		if m.answered = now; m.unreached {
@@ -773,18 +776,18 @@
 	}
 }
 
-// Wake is the alarm: it looks after the nodes, the groups, and the jobs that wait.
+// Wake is the alarm: it looks after the nodes, the groups, and the requests that wait.
 func (r *Router) Wake(now int64) {
 	if r.asking && r.watchAt > 0 && now >= r.watchAt {
 		r.watchAt = 0
 		r.out.Watch()
 	}
-	r.speak(now)
+	r.tell(now)
 	sum, warm, fades := 0.0, 0.0, math.Pow(1-slow, float64(now-r.looked)/float64(r.sweep))
 	r.wakeAt, r.looked, r.dearest = math.MaxInt64, now, 0
-	for i := range r.tariffs {
-		if t := &r.tariffs[i]; !t.past && t.Need < Fresh {
-			r.dearest = max(r.dearest, t.Earnings/t.usual)
+	for i := range r.classes {
+		if t := &r.classes[i]; !t.retired && t.Need < Fresh {
+			r.dearest = max(r.dearest, t.Worth/t.usual)
 		}
 	}
 	for i := range r.nodes {
@@ -798,8 +801,8 @@
 	if warm > 0 {
 		r.borne = sum / warm
 	}
-	for i := range r.jobs {
-		if j := &r.jobs[i]; j.live && !r.late(j, now) && !j.held && now < j.wanted && r.mayRepeat(j, now) {
+	for i := range r.requests {
+		if j := &r.requests[i]; j.live && !r.late(j, now) && !j.held && now < j.wanted && r.mayRepeat(j, now) {
 			r.place(j, now)
 		}
 	}
@@ -807,50 +810,50 @@
 	r.rouse(now)
 }
 
-// release places the held jobs anew, by their hard limits, and no more at once than there is room for.
+// release places the held requests anew, by their deadlines, and no more at once than there is room for.
 func (r *Router) release(now int64) {
 	r.waiting = r.waiting[:0]
-	for i := range r.jobs {
-		if j := &r.jobs[i]; j.live && j.held && !j.over && now >= j.resume {
+	for i := range r.requests {
+		if j := &r.requests[i]; j.live && j.held && !j.over && now >= j.resume {
 			r.waiting = append(r.waiting, Place(i))
 		}
 	}
-	slices.SortFunc(r.waiting, func(a, b Place) int { return cmp.Compare(r.jobs[a].limit, r.jobs[b].limit) })
+	slices.SortFunc(r.waiting, func(a, b Place) int { return cmp.Compare(r.requests[a].limit, r.requests[b].limit) })
 	for _, p := range r.waiting {
-		r.jobs[p].held = false
-		r.place(&r.jobs[p], now)
+		r.requests[p].held = false
+		r.place(&r.requests[p], now)
 	}
 }
 
-// late looks after a job's trips, and tells whether one is worth waiting for: not at a node set aside, and
-// not overdue. A trip past its contract time strains its node at once; but where the node has passed it over
-// with many other answers, it may be lost, which says nothing of crowding and holds no room. Guards against
-// silent nodes, lost messages and long queues; it harms by its repeats, hence only into spare room.
-func (r *Router) late(j *job, now int64) (waits bool) {
-	t := &r.tariffs[j.tariff]
-	overdue := max(int64(2*t.usual), t.ContractTime/2)
+// late looks after a request's attempts, and tells whether one is worth waiting for: not at a node ejected,
+// and not overdue. An attempt past its target latency strains its node at once; but where the node has passed
+// it over with many other answers, it may be lost, which says nothing of crowding and holds no room. Guards
+// against silent nodes, lost messages and long queues; it harms by its repeats, hence only into spare room.
+func (r *Router) late(j *request, now int64) (waits bool) {
+	t := &r.classes[j.class]
+	overdue := max(int64(2*t.usual), t.Target/2)
 	if j.terms.CopyAfter > 0 {
 		overdue = j.terms.CopyAfter
 	}
-	for i := range j.trips {
-		k := &j.trips[i]
+	for i := range j.attempts {
+		k := &j.attempts[i]
 		if !k.out {
 			continue
 		}
 		m := &r.nodes[k.node]
 		passed := m.passed(k)
-		if now-k.sent > t.ContractTime && !k.late {
+		if now-k.sent > t.Target && !k.late {
 			if k.lost = passed >= passes+1; k.lost {
 				m.held--
 			} else if passed < passes {
-				if m.heard <= k.sent && now >= m.aside {
+				if m.heard <= k.sent && now >= m.ejectedUntil {
 					r.failed(m, now, distrust) // silence
 				}
 				r.learn(m, k.crowd+1, tooLate)
 			}
 			k.late = k.lost || passed < passes
 		}
-		waits = waits || m.aside <= now && (now-k.sent < overdue || j.terms.CopyAfter == 0 && passed < passes)
+		waits = waits || m.ejectedUntil <= now && (now-k.sent < overdue || j.terms.CopyAfter == 0 && passed < passes)
 	}
 	return waits
 }
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -9,21 +9,21 @@
 
 const dense = 1e15 // work borne by each node such that a router's own counts tell something
 
-// shop is a contract with a tariff of each need, in their order.
-func shop() *Contract {
-	c := &Contract{Tick: 5 * ms, MaxTrips: 6, SecondTrips: true, Probes: true, SessionsCarried: true,
+// shop is settings with a class of each need, in their order.
+func shop() *Settings {
+	c := &Settings{Tick: 5 * ms, MaxAttempts: 6, SecondAttempts: true, Probes: true, SessionsCarried: true,
 		AskEvery: 10000 * ms, ConnectTimeout: 250 * ms, DrainGrace: 500 * ms, StartShare: 0.2, ColdFor: 10000 * ms,
 		FallMultiple: 2, FallSpan: 1000 * ms, LongestAbsence: 1000 * ms}
 	for n := Any; n <= Write; n++ {
-		c.Tariffs = append(c.Tariffs, Tariff{Need: n, Bound: 400 * ms, ContractTime: 300 * ms,
-			Window: 500 * ms, Earnings: 1})
+		c.Classes = append(c.Classes, Class{Need: n, Bound: 400 * ms, Target: 300 * ms,
+			Window: 500 * ms, Worth: 1})
 	}
-	c.Tariffs[Write].Repeat, c.Tariffs[Write].LateShare = Numbered, 0.5
+	c.Classes[Write].Repeat, c.Classes[Write].LateShare = Deduplicated, 0.5
 	return c
 }
 
 // trio is a ledger with a primary, 0, and two replicas at the given lags.
-func trio(c *Contract, lag1, lag2 int64) *ledger {
+func trio(c *Settings, lag1, lag2 int64) *ledger {
 	l := newLedger(c, 7)
 	l.dense = true
 	l.list(node{listed: true}, node{}, node{})
@@ -33,7 +33,7 @@
 	return l
 }
 
-func finish(l *ledger, i int, e Ending) { l.end(i, e, Note{}, Report{Held: -1}) }
+func finish(l *ledger, i int, e Outcome) { l.end(i, e, Note{}, Report{Held: -1}) }
 
 func want(t *testing.T, l *ledger, nodes ...int) {
 	t.Helper()
@@ -43,7 +43,7 @@
 }
 
 // play runs generated events and returns the ledger; the rules are checked in it as they come.
-func play(t *rapid.T, c *Contract, seed uint64, draw func(max int) int) *ledger {
+func play(t *rapid.T, c *Settings, seed uint64, draw func(max int) int) *ledger {
 	l := newLedger(c, seed)
 	standing := make([]node, 5)
 	for i := range standing {
@@ -57,21 +57,21 @@
 			wait := int64(draw(1000)+1) * ms
 			l.terms, l.grants = Terms{}, 1<<30
 			if draw(2) == 0 {
-				l.terms = Terms{Trips: int32(draw(4)), Again: uint16(draw(1 << 7)), Refused: draw(8) == 0, NoCopies: draw(4) == 0,
-					InZone: draw(2) == 0, Counted: draw(2) == 0, TripTime: int64(draw(3)*draw(200)) * ms, TripShare: int64(draw(Whole)),
+				l.terms = Terms{Attempts: int32(draw(4)), Again: uint16(draw(1 << 7)), Refused: draw(8) == 0, NoCopies: draw(4) == 0,
+					InZone: draw(2) == 0, Counted: draw(2) == 0, AttemptTime: int64(draw(3)*draw(200)) * ms, AttemptShare: int64(draw(Whole)),
 					Pause: int64(draw(2)*draw(50)) * ms, MostPause: int64(draw(2)*draw(90)) * ms, Jitter: int64(draw(Whole)),
 					CopyAfter: int64(draw(2)*draw(150)) * ms, AwayLeast: int64(draw(2)*draw(90)) * ms}
 				l.terms.AwayMost = int64(draw(2)) * (l.terms.AwayLeast + int64(draw(90))*ms)
 				l.grants = draw(8)
 			}
-			l.take(draw(len(c.Tariffs)), 0, wait, int64(draw(400))*ms)
+			l.take(draw(len(c.Classes)), 0, wait, int64(draw(400))*ms)
 		case what < 8:
 			if i := draw(max(1, len(l.trips))); i < len(l.trips) && l.trips[i].open {
 				note := Note{Role: Role(draw(3))}
 				if note.Role == Primary || note.Role == Replica && draw(2) == 0 {
 					note.Position = l.now - int64(draw(600))*ms
 				}
-				l.end(i, Ending(draw(int(Revoked)+1)), note, Report{Held: -1})
+				l.end(i, Outcome(draw(int(Canceled)+1)), note, Report{Held: -1})
 			}
 		case what == 8:
 			if len(l.probes) > 0 {
@@ -110,12 +110,12 @@
 		c.DrainGrace = 30 * ms // short, as is the window, so that generated days outlast them
 		c.NodesCheck = rapid.Bool().Draw(t, "check")
 		c.GoneMayServe = rapid.Bool().Draw(t, "gone")
-		c.SecondTrips = rapid.Bool().Draw(t, "second")
-		c.MaxTrips = rapid.IntRange(1, 6).Draw(t, "trips")
-		for i := range c.Tariffs {
-			c.Tariffs[i].Window = 100 * ms
-			c.Tariffs[i].Repeat = Repeat(rapid.IntRange(0, 2).Draw(t, "repeat"))
-			c.Tariffs[i].Circle = Circle(rapid.IntRange(0, 2).Draw(t, "circle"))
+		c.SecondAttempts = rapid.Bool().Draw(t, "second")
+		c.MaxAttempts = rapid.IntRange(1, 6).Draw(t, "trips")
+		for i := range c.Classes {
+			c.Classes[i].Window = 100 * ms
+			c.Classes[i].Repeat = Repeat(rapid.IntRange(0, 2).Draw(t, "repeat"))
+			c.Classes[i].Scope = Scope(rapid.IntRange(0, 2).Draw(t, "circle"))
 		}
 		var drawn []int
 		first := play(t, c, 1, func(n int) int {
@@ -159,16 +159,16 @@
 	now := int64(0)
 	if n := testing.AllocsPerRun(1000, func() {
 		now, r.borne = now+5*ms, dense
-		p := r.Seat()
-		r.Take(now, p, int(Any), 0, 1000*ms, 0, &Terms{})
-		r.Ended(now+ms, p, 0, Done, true, ms, Note{Replica, now}, Report{Held: -1})
+		p := r.Reserve()
+		r.Accept(now, p, int(Any), 0, 1000*ms, 0, &Terms{})
+		r.Ended(now+ms, p, 0, Succeeded, true, ms, Note{Replica, now}, Report{Held: -1})
 		r.Wake(now)
 	}); n > 0 {
 		t.Fatalf("%v allocations a job", n)
 	}
 }
 
-type idle struct{ Outside } // the rest is never called
+type idle struct{ Actions } // the rest is never called
 
 func (idle) Submit(Place, int, int64) {}
 func (idle) Alarm(int64)              {}
@@ -208,13 +208,13 @@
 	}
 }
 
-// Guards against terms that don't reach the trips: an outage's pauses, a trip's own time, and a copy after its time, which
+// Guards against terms that don't reach the attempts: an outage's pauses, an attempt's own time, and a copy after its time, which
 // the design would not send yet.
 func TestTerms(t *testing.T) {
 	l := trio(shop(), 0, 0)
-	l.terms = Terms{TripTime: 40 * ms, Pause: 30 * ms, Again: 1 << TimedOut, Trips: 3}
+	l.terms = Terms{AttemptTime: 40 * ms, Pause: 30 * ms, Again: 1 << TimedOut, Attempts: 3}
 	p := l.take(int(Any), 0, 1000*ms, 0)
-	l.pass(45 * ms) // the trip is over
+	l.pass(45 * ms) // the attempt is over
 	if want(t, l); l.jobs[p] == nil {
 		t.Fatal("given up in its pause", l.log)
 	}
@@ -236,40 +236,40 @@
 	}
 }
 
-// Guards against nodes that hang among jobs whose trips end before their contract time: they are set aside all the same.
+// Guards against nodes that hang among requests whose attempts end before their target latency: they are ejected all the same.
 func TestShortTripsShowSilence(t *testing.T) {
 	l := trio(shop(), 5000*ms, 5000*ms)
-	l.terms = Terms{TripTime: 20 * ms, Trips: 1}
+	l.terms = Terms{AttemptTime: 20 * ms, Attempts: 1}
 	for range distrust {
 		l.take(int(Fresh), 0, 1000*ms, 0)
 		l.pass(25 * ms)
 	}
-	if m := &l.r.nodes[0]; m.aside <= l.now {
+	if m := &l.r.nodes[0]; m.ejectedUntil <= l.now {
 		t.Fatalf("%+v", *m)
 	}
 }
 
-// Guards against lost messages read as crowding: a trip passed over by many others holds no room.
+// Guards against lost messages read as crowding: an attempt passed over by many others holds no room.
 func TestLostTripsHoldNoRoom(t *testing.T) {
 	l := trio(shop(), 0, 5000*ms)
 	l.take(int(Bounded), 0, 1000*ms, 0)
 	m := &l.r.nodes[1]
 	room := m.room.size
 	m.answers, m.heard = 8, l.now+300*ms
-	if l.pass(310 * ms); m.held != 0 || m.room.size < room || m.aside > l.now {
+	if l.pass(310 * ms); m.held != 0 || m.room.size < room || m.ejectedUntil > l.now {
 		t.Fatalf("%+v", *m)
 	}
 }
 
-// Guards against hung nodes among many routers with few jobs each: one late trip is enough, for longer; not a primary's.
+// Guards against hung nodes among many routers with few requests each: one late attempt is enough, for longer; not a primary's.
 func TestSparseRouterLeavesSilence(t *testing.T) {
 	l := trio(shop(), 0, 5000*ms)
 	l.dense = false
 	l.take(int(Bounded), 0, 1000*ms, 0)
 	l.take(int(Fresh), 0, 1000*ms, 0)
 	l.pass(400 * ms)
-	if m := l.r.nodes; m[1].aside < l.now+l.c.ColdFor/3 || m[0].aside > l.now {
-		t.Fatal(m[1].aside-l.now, m[0].aside-l.now, l.log)
+	if m := l.r.nodes; m[1].ejectedUntil < l.now+l.c.ColdFor/3 || m[0].ejectedUntil > l.now {
+		t.Fatal(m[1].ejectedUntil-l.now, m[0].ejectedUntil-l.now, l.log)
 	}
 }
 
@@ -278,12 +278,12 @@
 	l := trio(shop(), 0, 0)
 	for i := range 3 {
 		l.take(int(Write), 0, 1000*ms, 0)
-		finish(l, len(l.trips)-1, []Ending{Broken, Unreachable, Done}[i])
+		finish(l, len(l.trips)-1, []Outcome{Broken, Unreachable, Succeeded}[i])
 		l.r.Probed(l.now, 0, false, Report{})
 		l.r.Probed(l.now, 0, false, Report{})
 	}
 	m := &l.r.nodes[0]
-	if m.aside > l.now || m.started > 0 {
+	if m.ejectedUntil > l.now || m.started > 0 {
 		t.Fatalf("%+v", *m)
 	}
 	breaks := func() {
@@ -292,11 +292,11 @@
 			finish(l, len(l.trips)-1, Broken)
 		}
 	}
-	if breaks(); m.aside > l.now || m.unreached { // many links, of a node that has just answered
+	if breaks(); m.ejectedUntil > l.now || m.unreached { // many links, of a node that has just answered
 		t.Fatalf("%+v", *m)
 	}
 	l.now += l.c.ConnectTimeout
-	if breaks(); m.aside <= l.now || !m.unreached {
+	if breaks(); m.ejectedUntil <= l.now || !m.unreached {
 		t.Fatalf("it answers nothing any more: %+v", *m)
 	}
 }
@@ -324,10 +324,10 @@
 func TestLaggardsTakeAnyReads(t *testing.T) {
 	for _, sparse := range []bool{false, true} {
 		c := shop()
-		c.Tariffs[Any].ContractTime = 2000 * ms
+		c.Classes[Any].Target = 2000 * ms
 		l := trio(c, 100*ms, 900*ms)
 		l.dense = !sparse
-		l.r.tariffs[Any].usual = float64(500 * ms)
+		l.r.classes[Any].usual = float64(500 * ms)
 		l.take(int(Any), 0, 2000*ms, 0)
 		l.take(int(Any), 0, 2000*ms, 0)
 		l.pass(40 * ms)
@@ -363,7 +363,7 @@
 		for range 3 {
 			l.take(int(Any), 0, 1000*ms, 0)
 		}
-		for l.now += 10 * ms; len(l.trips) > 0; finish(l, 0, Done) {
+		for l.now += 10 * ms; len(l.trips) > 0; finish(l, 0, Succeeded) {
 			sent[l.trips[0].node]++
 		}
 		l.r.Wake(l.now)
@@ -373,10 +373,10 @@
 	}
 }
 
-// Guards against many routers that can't tell a full node by their own trips: what nodes show counts, and fades.
+// Guards against many routers that can't tell a full node by their own attempts: what nodes show counts, and fades.
 func TestShownCrowdCounts(t *testing.T) {
 	c := shop()
-	c.Tariffs[Any].ContractTime = 3000 * ms // no second trips here
+	c.Classes[Any].Target = 3000 * ms // no second attempts here
 	l := trio(c, 100*ms, 100*ms)
 	l.dense = false
 	show := func(n int, held float64) {
@@ -409,7 +409,7 @@
 			a.heard(a.probes[0], a.r.nodes[a.probes[0]].role, a.now-20*ms)
 		}
 		for ; len(a.knocks) > 0; a.knocks = a.knocks[1:] {
-			a.r.Heard(a.now, a.knocks[0], heading(a.now))
+			a.r.Heard(a.now, a.knocks[0], appendHeader(a.now))
 		}
 	}
 	said := a.words[0]
@@ -447,7 +447,7 @@
 	}
 }
 
-// Guards the cold rule where many routers have few jobs: by lot, a young node is not idle and stays under its limit.
+// Guards the cold rule where many routers have few requests: at random, a young node is not idle and stays under its limit.
 func TestColdBudgetByLot(t *testing.T) {
 	sent, jobs := [3]int{}, 400
 	for router := range jobs {
@@ -459,11 +459,11 @@
 		l.list(node{listed: true, started: l.now}, node{started: l.now}, node{standing: Gone}) // the last of two
 		l.take(int(Any), 0, 1000*ms, 0)
 		l.take(int(Fresh), 0, 1000*ms, 0)
-		for l.pass(50 * ms); len(l.trips) > 0; finish(l, 0, Done) {
+		for l.pass(50 * ms); len(l.trips) > 0; finish(l, 0, Succeeded) {
 			sent[l.trips[0].node]++
 		}
 	}
-	// Warm, each would bear all of its tariff's jobs; cold, the rule's multiple of the start's share of them.
+	// Warm, each would bear all of its class's requests; cold, the rule's multiple of the start's share of them.
 	limit := int(float64(jobs) * shop().FallMultiple * shop().StartShare)
 	if sent[0] == 0 || sent[0] > limit || sent[1] == 0 || sent[1] > limit/2 {
 		t.Fatal(sent, limit)
@@ -506,7 +506,7 @@
 	}
 }
 
-// Guards against trips that wait for their connection and are as old as that when they begin: a numbered job's repeat behind its
+// Guards against attempts that wait for their connection and are as old as that when they begin: a deduplicated request's repeat behind its
 // window, a read at a replica that was fresh enough when it was chosen, whatever goes to a node that has left.
 func TestBegins(t *testing.T) {
 	begins := func(l *ledger, want bool, what string) {
--- a/balance/helpers_test.go
+++ b/balance/helpers_test.go
@@ -18,21 +18,21 @@
 	os.Exit(m.Run())
 }
 
-// out is a trip as the ledger sees it.
+// out is an attempt as the ledger sees it.
 type outTrip struct {
 	place     Place
 	leg, node int
 	sent      int64
 	until     int64
 	open      bool
-	ending    Ending
+	ending    Outcome
 }
 
 // ledger is the outside of a router under test: it keeps what was done and says what the rules think of it.
 type ledger struct {
-	Outside // what a router has no use for yet
+	Actions // what a router has no use for yet
 	r       *Router
-	c       *Contract
+	c       *Settings
 	now     int64
 	trips   []outTrip
 	jobs    map[Place]*kept
@@ -47,9 +47,9 @@
 	watches int
 	log     []string
 	broken  string
-	terms   Terms // of the jobs to come
-	grants  int   // how many of the next further trips are granted
-	granted Place // whom the last one was granted to, until its trip; below 0: nobody
+	terms   Terms // of the requests to come
+	grants  int   // how many of the next further attempts are granted
+	granted Place // whom the last one was granted to, until its attempt; below 0: nobody
 	alarm   int64 // when the alarm rings
 	wakes   int   // how often it did
 	exact   bool  // the router is woken by its alarm alone, and not each few milliseconds
@@ -61,11 +61,11 @@
 	need, limit   int64
 	ended         bool
 	terms         Terms
-	last          int64 // when a trip of it last ended, and how
-	ending        Ending
+	last          int64 // when an attempt of it last ended, and how
+	ending        Outcome
 }
 
-func newLedger(c *Contract, seed uint64) *ledger {
+func newLedger(c *Settings, seed uint64) *ledger {
 	l := &ledger{c: c, now: 1e12, jobs: map[Place]*kept{}, told: map[int]int64{}, best: map[int]int64{},
 		replica: map[int]int64{}, once: map[int]bool{}, drained: map[int]bool{}}
 	l.r = Open(c, seed, l, l.now)
@@ -80,11 +80,11 @@
 	}
 }
 
-// Submit checks a trip against the rules, plainly.
+// Submit checks an attempt against the rules, plainly.
 func (l *ledger) Submit(p Place, node int, until int64) {
 	l.say("submit %d %d", p, node)
 	j := l.jobs[p]
-	t := l.c.Tariffs[j.tariff]
+	t := l.c.Classes[j.tariff]
 	if j.ended {
 		l.breaks("a trip after the end of job %d", p)
 	}
@@ -98,15 +98,15 @@
 			if k.open {
 				open++
 			}
-			if (k.open || k.ending > Moot || k.ending == Done) && first < 0 {
+			if (k.open || k.ending > NotSent || k.ending == Succeeded) && first < 0 {
 				first = k.sent
 			}
 		}
 	}
-	if leg >= l.c.MaxTrips || open > 0 && !l.c.SecondTrips {
+	if leg >= l.c.MaxAttempts || open > 0 && !l.c.SecondAttempts {
 		l.breaks("trip %d of job %d with %d out", leg, p, open)
 	}
-	if first >= 0 && (t.Repeat == AtMostOnce || t.Repeat == Numbered && l.now > first+t.Window) {
+	if first >= 0 && (t.Repeat == AtMostOnce || t.Repeat == Deduplicated && l.now > first+t.Window) {
 		l.breaks("job %d again, which may have run", p)
 	}
 	l.checkTerms(p, j, leg, open, until)
@@ -120,22 +120,22 @@
 		(t.Need == Fresh || l.best[node] < need) {
 		l.breaks("a stale read at node %d", node)
 	}
-	l.trips = append(l.trips, outTrip{p, leg, node, l.now, until, true, Done})
+	l.trips = append(l.trips, outTrip{p, leg, node, l.now, until, true, Succeeded})
 }
 
-// checkTerms checks a trip against its job's terms, plainly.
+// checkTerms checks an attempt against its request's terms, plainly.
 func (l *ledger) checkTerms(p Place, j *kept, leg, open int, until int64) {
 	t, longest := &j.terms, j.limit
 	switch {
-	case t.TripTime > 0:
-		longest = min(longest, l.now+t.TripTime)
-	case t.TripShare > 0:
-		longest = l.now + (j.limit-l.now)*t.TripShare/Whole
+	case t.AttemptTime > 0:
+		longest = min(longest, l.now+t.AttemptTime)
+	case t.AttemptShare > 0:
+		longest = l.now + (j.limit-l.now)*t.AttemptShare/Whole
 	}
 	if until != longest {
 		l.breaks("trip %d of job %d lasts %d, not %d", leg, p, until-l.now, longest-l.now)
 	}
-	if t.Refused || t.Trips > 0 && leg >= int(t.Trips) || open > 0 && t.NoCopies {
+	if t.Refused || t.Attempts > 0 && leg >= int(t.Attempts) || open > 0 && t.NoCopies {
 		l.breaks("trip %d of job %d with %d out beyond its terms %+v", leg, p, open, *t)
 	}
 	if leg > 0 && t.Counted && l.granted != p {
@@ -174,22 +174,22 @@
 	j.ended = true
 }
 
-func (l *ledger) Bounce(p Place, stayAway int64) {
+func (l *ledger) Reject(p Place, stayAway int64) {
 	l.say("bounce %d %d", p, stayAway)
-	t, terms := l.c.Tariffs[l.jobs[p].tariff], l.jobs[p].terms
+	t, terms := l.c.Classes[l.jobs[p].tariff], l.jobs[p].terms
 	if stayAway < terms.AwayLeast || terms.AwayMost > 0 && stayAway > terms.AwayMost {
 		l.breaks("job %d bounced for %d", p, stayAway)
 	}
 	for _, k := range l.trips {
-		if k.place == p && (k.open || k.ending > Moot) && t.Repeat != Reissuable &&
-			(t.Repeat == AtMostOnce || t.Circle != OfAll) {
+		if k.place == p && (k.open || k.ending > NotSent) && t.Repeat != Idempotent &&
+			(t.Repeat == AtMostOnce || t.Scope != OfAll) {
 			l.breaks("job %d bounced, which may have run", p)
 		}
 	}
 	l.final(p)
 }
 
-func (l *ledger) Terminate(p Place) { l.say("terminate %d", p); l.final(p) }
+func (l *ledger) Fail(p Place)      { l.say("terminate %d", p); l.final(p) }
 func (l *ledger) Alarm(after int64) { l.alarm = l.now + after }
 func (l *ledger) Probe(node int)    { l.say("probe %d", node); l.probes = append(l.probes, node) }
 func (l *ledger) Log(int, string)   {}
@@ -236,17 +236,17 @@
 	if l.dense {
 		l.r.borne = dense
 	}
-	p := l.r.Seat()
+	p := l.r.Reserve()
 	j := &kept{tariff: t, group: g, limit: l.now + wait, terms: l.terms}
-	if l.c.SessionsCarried && wrote > 0 && l.c.Tariffs[t].Need == Session {
+	if l.c.SessionsCarried && wrote > 0 && l.c.Classes[t].Need == Session {
 		j.need = l.now - wrote
 	}
 	l.jobs[p] = j
-	l.r.Take(l.now, p, t, g, wait, wrote, &l.terms)
+	l.r.Accept(l.now, p, t, g, wait, wrote, &l.terms)
 	return p
 }
 
-func (l *ledger) end(i int, e Ending, note Note, rep Report) {
+func (l *ledger) end(i int, e Outcome, note Note, rep Report) {
 	k := &l.trips[i]
 	k.open, k.ending = false, e
 	if note.Role == Replica {
@@ -258,9 +258,9 @@
 	}
 	j := l.jobs[k.place]
 	j.last, j.ending = l.now, e
-	settled := e == Done && !j.ended
+	settled := e == Succeeded && !j.ended
 	j.ended = j.ended || settled
-	if note.Position > 0 && l.c.Tariffs[j.tariff].Need != Write {
+	if note.Position > 0 && l.c.Classes[j.tariff].Need != Write {
 		l.best[k.node] = max(l.best[k.node], note.Position)
 	}
 	l.r.Ended(l.now, k.place, k.leg, e, settled, l.now-k.sent, note, rep)
@@ -277,7 +277,7 @@
 	l.r.Probed(l.now, n, true, Report{Given: true, Position: position, Role: role, Held: -1})
 }
 
-// pass lets time go by, with alarms, and ends trips whose client's time is up.
+// pass lets time go by, with alarms, and ends attempts whose client's time is up.
 func (l *ledger) pass(span int64) {
 	for until := l.now + span; l.now < until; {
 		l.now += 5 * ms
@@ -292,9 +292,9 @@
 		}
 		l.wakes++
 		l.r.Wake(l.now)
-		// A job given up is answered at once: none is held that won't be sent again.
-		for i := range l.r.jobs {
-			j := &l.r.jobs[i]
+		// A request given up is answered at once: none is held that won't be sent again.
+		for i := range l.r.requests {
+			j := &l.r.requests[i]
 			if parked := j.live && !j.over && j.out == 0; parked && (!j.held || !l.r.mayRepeat(j, max(l.now, j.resume))) {
 				l.breaks("job %d is neither sent nor answered", j.place)
 			}
--- a/balance/shape_test.go
+++ b/balance/shape_test.go
@@ -7,15 +7,15 @@
 	"testing"
 )
 
-// Guards against reads that fall on primaries where nodes don't check: there each job pays for probes, though the router's
+// Guards against reads that fall on primaries where nodes don't check: there each request pays for probes, though the router's
 // own counts tell something, as lag can't be presumed.
 func TestUncheckedReadsPayForProbes(t *testing.T) {
 	for _, check := range []bool{true, false} {
 		c := shop()
 		c.NodesCheck = check
 		l := trio(c, 10*ms, 10*ms)
-		l.pass(c.Tariffs[Bounded].Bound + 50*ms)
-		l.r.purse, l.probes = 0, nil
+		l.pass(c.Classes[Bounded].Bound + 50*ms)
+		l.r.probeBudget, l.probes = 0, nil
 		l.take(int(Bounded), 0, 300*ms, 0)
 		if asked := len(l.probes) > 0; asked == check {
 			t.Fatalf("nodes check: %v, probes of %v", check, l.probes)
@@ -27,7 +27,7 @@
 // of others where there are no more of its own.
 func TestOwnZoneFirst(t *testing.T) {
 	c := shop()
-	c.SecondTrips = false
+	c.SecondAttempts = false
 	l := newLedger(c, 3)
 	l.dense = true
 	l.list(node{listed: true}, node{zone: 1}, node{})
@@ -43,7 +43,7 @@
 	want(t, l, 2, 2, 2, 1)
 }
 
-// Guards against hundreds of routers that all send to the node that the last news showed emptiest: they draw lots.
+// Guards against hundreds of routers that all send to the node that the last news showed emptiest: they draw at random.
 func TestSparseRoutersSpread(t *testing.T) {
 	at := [3]int{}
 	for seed := range uint64(200) {
@@ -63,7 +63,7 @@
 	}
 }
 
-// Guards against hundreds of routers that follow old news: one tells twice in a contract time, but only what changed; and
+// Guards against hundreds of routers that follow old news: one tells twice in a target latency, but only what changed; and
 // against all of them telling where words are lost: whom nobody echoes speaks ever less.
 func TestNewsComeTwiceAContractTime(t *testing.T) {
 	c := shop()
@@ -74,7 +74,7 @@
 	answer := func(span int64) {
 		for until := l.now + span; l.now < until; l.pass(c.Tick) {
 			if heeded {
-				l.r.Heard(l.now, 2, heading(l.now))
+				l.r.Heard(l.now, 2, appendHeader(l.now))
 			}
 			for ; len(l.probes) > 0; l.probes = l.probes[1:] {
 				if n := l.probes[0]; stirs {
@@ -90,35 +90,35 @@
 	answer(4 * l.r.fade)
 	before := len(l.words)
 	stirs = true
-	if answer(10 * c.Tariffs[0].ContractTime); len(l.words)-before < 15 {
+	if answer(10 * c.Classes[0].Target); len(l.words)-before < 15 {
 		t.Fatalf("told %d times in ten contract times", len(l.words)-before)
 	}
 	before, stirs = len(l.words), false
-	if answer(10 * c.Tariffs[0].ContractTime); len(l.words)-before > 7 {
+	if answer(10 * c.Classes[0].Target); len(l.words)-before > 7 {
 		t.Fatalf("told %d times in ten contract times, though nothing changed", len(l.words)-before)
 	}
 	before, stirs, heeded = len(l.words), true, false
-	if answer(100 * c.Tariffs[0].ContractTime); len(l.words)-before > 20 {
+	if answer(100 * c.Classes[0].Target); len(l.words)-before > 20 {
 		t.Fatalf("told %d times in a hundred contract times, though nobody heard", len(l.words)-before)
 	}
 	before, heeded = len(l.words), true
-	if answer(100 * c.Tariffs[0].ContractTime); len(l.words)-before < 50 {
+	if answer(100 * c.Classes[0].Target); len(l.words)-before < 50 {
 		t.Fatalf("told %d times in a hundred contract times, though heard again", len(l.words)-before)
 	}
 }
 
-// Guards against room taken by jobs that earn nothing any more: their trips end with the contract time where clients can be
-// asked away till their hard limit, the client is told at once, and the silence of a node still shows; elsewhere, and
-// where late answers earn, trips run on.
+// Guards against room taken by requests that earn nothing any more: their attempts end with the target latency where clients can be
+// asked away till their deadline, the client is told at once, and the silence of a node still shows; elsewhere, and
+// where late answers earn, attempts run on.
 func TestWorthlessTripsEnd(t *testing.T) {
 	for _, at := range []struct {
 		limit, ended int64
 		need         Need
 	}{{1200 * ms, 300 * ms, Any}, {1500 * ms, 1400 * ms, Any}, {1200 * ms, 1400 * ms, Write}} {
 		c := shop()
-		c.SecondTrips = false
-		for i := range c.Tariffs {
-			c.Tariffs[i].HardLimit = at.limit
+		c.SecondAttempts = false
+		for i := range c.Classes {
+			c.Classes[i].Deadline = at.limit
 		}
 		l := trio(c, 0, 0)
 		p := l.take(int(at.need), 0, 1400*ms, 0)
@@ -135,14 +135,14 @@
 	}
 }
 
-// Guards against a teller behind a slow link, whose probes of half the nodes fail: one router of each zone tells of its
+// Guards against a reporter behind a slow link, whose probes of half the nodes fail: one router of each zone tells of its
 // zone's nodes, and only words of the own zone silence a router.
 func TestEachZoneHasATeller(t *testing.T) {
 	c := shop()
 	c.RoutersTalk, c.Me = true, 5
 	l := newLedger(c, 9)
 	l.list(node{listed: true}, node{}, node{zone: 1})
-	other := appendNews(heading(l.now), l.now, &node{mark: 2, position: l.now - ms, role: Replica})
+	other := appendReport(appendHeader(l.now), l.now, &node{mark: 2, position: l.now - ms, role: Replica})
 	for until := l.now + 5*l.r.fade; l.now < until; l.pass(c.Tick) {
 		for ; len(l.probes) > 0; l.probes = l.probes[1:] {
 			if l.heard(l.probes[0], Replica, l.now-20*ms); l.probes[0] == 2 {
@@ -154,13 +154,13 @@
 	if len(l.words) == 0 || slices.ContainsFunc(l.words, func(w []byte) bool { return len(w) != headingLen+2*newsLen }) {
 		t.Fatalf("told %x", l.words)
 	}
-	if l.r.Heard(l.now, 1, appendNews(heading(l.now), l.now, &l.r.nodes[1])); l.r.speaking {
+	if l.r.Heard(l.now, 1, appendReport(appendHeader(l.now), l.now, &l.r.nodes[1])); l.r.speaking {
 		t.Fatal("two routers of one zone tell")
 	}
 }
 
 // Guards against hundreds of routers that all stop sending at one word of news and all begin again at the next: about as
-// many trips as a node has room for end its room for some jobs, not for all.
+// many attempts as a node has room for end its room for some requests, not for all.
 func TestSparseRoomsEndByLot(t *testing.T) {
 	sent := map[float64]int{}
 	for seed := range uint64(200) {
@@ -184,7 +184,7 @@
 // what these bear, so a young member's share doesn't grow with them.
 func TestRoundsDoNotRaiseColdShares(t *testing.T) {
 	c := shop()
-	c.MaxTrips = 10
+	c.MaxAttempts = 10
 	l := trio(c, 0, 0)
 	l.list(node{}, node{}, node{started: l.now})
 	l.heard(0, Replica, l.now)
@@ -206,7 +206,7 @@
 	}
 }
 
-// Guards against hundreds of routers that each pay for two probes a job while nobody tells any of them: where others would tell,
+// Guards against hundreds of routers that each pay for two probes a request while nobody tells any of them: where others would tell,
 // one has to do.
 func TestSilencePaysForOneProbe(t *testing.T) {
 	probes := map[bool]int{}
@@ -225,7 +225,7 @@
 			}
 			for i := 0; i < len(l.trips); i++ {
 				if l.trips[i].open {
-					l.end(i, Done, Note{Position: l.now}, Report{Held: -1})
+					l.end(i, Succeeded, Note{Position: l.now}, Report{Held: -1})
 					i = -1
 				}
 			}
@@ -250,7 +250,7 @@
 	}
 	for len(l.words) == 0 && l.now < begun+200*l.r.fade { // words pass again
 		if l.pass(c.Tick); len(l.knocks) > 0 {
-			l.r.Heard(l.now, l.knocks[0], heading(l.now))
+			l.r.Heard(l.now, l.knocks[0], appendHeader(l.now))
 		}
 		for l.knocks = nil; len(l.probes) > 0; l.probes = l.probes[1:] {
 			l.heard(l.probes[0], Replica, l.now-20*ms)
@@ -265,28 +265,28 @@
 		t.Errorf("it told %d times more, though nobody answered", len(l.words)-told)
 	}
 	words := len(l.words)
-	l.r.Heard(l.now, 2, append(heading(l.now), 0))
+	l.r.Heard(l.now, 2, append(appendHeader(l.now), 0))
 	if len(l.words) != words+1 || len(l.words[words]) != headingLen {
 		t.Errorf("asked whether words pass it said %x", l.words[words:])
 	}
 }
 
-// Guards against a teller that takes few hearers for none, and against many that echo the same word: each that hears says so
-// at random moments, about once in four contract times.
+// Guards against a reporter that takes few hearers for none, and against many that echo the same word: each that hears says so
+// at random moments, about once in four target latencies.
 func TestHearersEcho(t *testing.T) {
 	c := shop()
 	c.RoutersTalk, c.Me = true, 3
 	l := newLedger(c, 4)
 	l.list(node{listed: true}, node{})
 	for until := l.now + 40*l.r.fade; l.now < until; l.pass(c.Tick) {
-		l.r.Heard(l.now, 1, appendNews(heading(l.now), l.now, &node{mark: 1, position: l.now - ms, role: Replica}))
+		l.r.Heard(l.now, 1, appendReport(appendHeader(l.now), l.now, &node{mark: 1, position: l.now - ms, role: Replica}))
 	}
 	if n := len(l.words); n < 30 || n > 60 || len(l.words[0]) != headingLen {
 		t.Fatalf("%d echoes", n)
 	}
 }
 
-// Guards against a job held through a pause at whose end it would be given up: it is answered at once.
+// Guards against a request held through a pause at whose end it would be given up: it is answered at once.
 func TestNoPausePastTheContractTime(t *testing.T) {
 	l := trio(shop(), 0, 0)
 	l.terms = Terms{Pause: 400 * ms}
@@ -297,7 +297,7 @@
 	}
 }
 
-// Guards against hundreds of routers on one machine that wake for nothing: one without jobs rings its alarm for the list and for
+// Guards against hundreds of routers on one machine that wake for nothing: one without requests rings its alarm for the list and for
 // news alone. What went by time alone meanwhile is as if it had been woken at each sweep.
 func TestIdleRouterSleeps(t *testing.T) {
 	c := shop()
@@ -312,7 +312,7 @@
 			l.take(0, 0, 300*ms, 0)
 			for i := 0; i < len(l.trips); i++ {
 				if l.trips[i].open {
-					l.end(i, Done, Note{Position: l.now}, Report{Held: -1})
+					l.end(i, Succeeded, Note{Position: l.now}, Report{Held: -1})
 					i = -1
 				}
 			}
@@ -330,7 +330,7 @@
 	if most := 200; asleep.wakes > most || len(asleep.probes) < len(woken.probes)/2 || len(woken.probes) == 0 {
 		t.Errorf("%d wakes in twenty spans, %d probes for news; awake %d", asleep.wakes, len(asleep.probes), len(woken.probes))
 	}
-	// A job that waits rings it again, however many came before.
+	// A request that waits rings it again, however many came before.
 	for range 40 {
 		asleep.take(int(Write), 0, 300*ms, 0)
 		asleep.pass(5 * ms)
--- a/balance/state.go
+++ b/balance/state.go
@@ -7,19 +7,19 @@
 
 // Router is one router's decisions.
 type Router struct {
-	out                                   Outside
+	out                                   Actions
 	chance                                chance
-	tariffs                               []tariff
+	classes                               []class
 	nodes                                 []node
 	groups                                []group
-	jobs                                  []job
+	requests                              []request
 	free, waiting                         []Place
-	maxTrips, word                        int
+	maxAttempts, word                     int
 	second, probes, check, asking         bool
 	whole                                 bool  // the list being told is whole
 	sweep, refresh, useful, away, age     int64 // age: of reports, on average
 	looked, wakeAt                        int64 // when it last looked after what goes by time, and when its alarm rings
-	asideFor, grace, coldFor, span        int64
+	ejectFor, grace, coldFor, span        int64
 	startShare, perSpan                   float64
 	peers, speaking, goneMayServe         bool
 	echoed                                bool // others heard what it said last
@@ -32,84 +32,84 @@
 	shared                                room    // of all nodes, for want of better
 	fade                                  int64   // how long what a node shows counts
 	borne                                 float64 // work sent over the span to a warm node
-	dearest                               float64 // most earnings for work of any read
-	purse                                 float64 // probes that may be sent
+	dearest                               float64 // most worth for work of any read
+	probeBudget                           float64 // probes that may be sent
 	watchAt, backoff                      int64   // of asking for the list
 	leastBackoff, mostBackoff             int64
 }
 
-// A step says what to do next with a job once a trip of it has ended.
-type step func(r *Router, j *job, e Ending, now int64)
+// A step says what to do next with a request once an attempt of it has ended.
+type step func(r *Router, j *request, e Outcome, now int64)
 
-type trip struct {
+type attempt struct {
 	node            int32
-	ending          Ending
-	out, late, lost bool    // late: past its contract time; lost: no longer counted at its node
+	ending          Outcome
+	out, late, lost bool    // late: past its target latency; lost: no longer counted at its node
 	sent            int64   // when
 	answers, among  float64 // what its node had answered, and held of this router's, when it left
 	crowd           float64 // what it was thought to hold in all
 	then            step
 }
 
-type job struct {
+type request struct {
 	place                      Place
 	live, over, held, fallback bool // fallback: no replica is fresh enough
-	tariff, group, out         int32
+	class, group, out          int32
 	asked                      int     // whether it asked for the load of nodes: 0 or 1
-	lot                        float64 // from 0 to 1, for what goes by lot
+	draw                       float64 // from 0 to 1, for what goes at random
 	need                       int64   // position that a session read must see
-	taken, wanted              int64   // when it came in, and its contract time
-	limit, holdEnd             int64   // its hard limit, and until when it may be held
+	taken, wanted              int64   // when it came in, and its target latency
+	limit, holdEnd             int64   // its deadline, and until when it may be held
 	resume                     int64   // before which it pauses
-	most                       int     // trips
+	most                       int     // attempts
 	terms                      Terms
-	trips                      []trip
+	attempts                   []attempt
 }
 
 type node struct {
-	self, group, zone           int32
-	standing                    Standing
-	role                        Role
-	weight                      float64
-	listed                      bool  // as primary
-	word                        int   // of the list that last named it
-	told, started               int64 // when it was said to leave, and when it started (0: long ago)
-	position, heardOf, lag      int64 // a lower bound, when it was last told, and how far behind then
-	roleAt, missed              int64 // when its role was true, and when it last turned a read away
-	heard                       int64 // when it last answered, or the oldest of its trips left
-	aside, probed, served       int64 // until when, and when last; when it last answered a trip
-	unreached, probing, drained bool
-	failures                    int     // in a row
-	held, ghosts                float64 // trips, and work that may go on though its trip has ended here
-	answers                     float64 // so far
-	room                        room
-	busy, shown                 float64 // cores, and trips held, by its last report
-	shownAt, answered           int64   // when it showed that, and when a probe of this router's last came back
-	lean                        float64 // logarithm of how much stronger it proves than its weight, by all
-	all                         float64 // trips that all routers have there, as they were last summed up for this one
-	allAt                       int64   // and when that was so
-	mark                        uint32
-	work                        float64 // sent; decays over the span of the cold rule
-	workAt                      int64
-	lent, kept                  float64 // work that it may be sent over the span, and the part of it without a lease
-	lentUntil, keptUntil        int64
-	shunned                     int64   // until when, by what others have seen
-	said                        float64 // what it showed when others were last told, and when that was
-	saidAt                      int64
+	self, group, zone            int32
+	standing                     Standing
+	role                         Role
+	weight                       float64
+	listed                       bool  // as primary
+	word                         int   // of the list that last named it
+	told, started                int64 // when it was said to leave, and when it started (0: long ago)
+	position, heardOf, lag       int64 // a lower bound, when it was last told, and how far behind then
+	roleAt, missed               int64 // when its role was true, and when it last turned a read away
+	heard                        int64 // when it last answered, or the oldest of its attempts left
+	ejectedUntil, probed, served int64 // until when, and when last; when it last answered an attempt
+	unreached, probing, drained  bool
+	failures                     int     // in a row
+	held, ghosts                 float64 // attempts, and work that may go on though its attempt has ended here
+	answers                      float64 // so far
+	room                         room
+	busy, shown                  float64 // cores, and attempts held, by its last report
+	shownAt, answered            int64   // when it showed that, and when a probe of this router's last came back
+	logStrength                  float64 // logarithm of how much stronger it proves than its weight, by all
+	all                          float64 // attempts that all routers have there, as they were last summed up for this one
+	allAt                        int64   // and when that was so
+	mark                         uint32
+	work                         float64 // sent; decays over the span of the cold rule
+	workAt                       int64
+	lent, kept                   float64 // work that it may be sent over the span, and the part of it without a lease
+	lentUntil, keptUntil         int64
+	bannedUntil                  int64   // until when, by what others have seen
+	said                         float64 // what it showed when others were last told, and when that was
+	saidAt                       int64
 }
 
-// room is how many trips a node can hold in good time.
+// room is how many attempts a node can hold in good time.
 type room struct {
-	size, strain float64 // strain: mean time of a trip, as a part of its contract time
+	size, strain float64 // strain: mean time of an attempt, as a part of its target latency
 	opening      bool    // it has not been full yet
 }
 
-type tariff struct {
-	Tariff
-	usual    float64 // mean time of a trip
-	share    float64 // of a primary's room that it may fill
-	farewell int64   // for how long clients are asked away whose job can earn nothing any more; 0: they are not
-	past     bool    // no job to come has it
+type class struct {
+	Class
+	usual     float64 // mean time of an attempt
+	share     float64 // of a primary's room that it may fill
+	rejectFor int64   // for how long clients are asked away whose request can earn nothing any more; 0: they are not
+	retired   bool    // no request to come has it
 }
 
 type group struct {
@@ -117,35 +117,35 @@
 	most    float64 // how many it has had in the list at a time
 }
 
-// Seat gives a new job its place.
-func (r *Router) Seat() Place {
+// Reserve gives a new request its place.
+func (r *Router) Reserve() Place {
 	if k := len(r.free); k > 0 {
 		p := r.free[k-1]
 		r.free = r.free[:k-1]
 		return p
 	}
-	r.jobs = append(r.jobs, job{trips: make([]trip, 0, r.maxTrips)})
-	return Place(len(r.jobs) - 1)
+	r.requests = append(r.requests, request{attempts: make([]attempt, 0, r.maxAttempts)})
+	return Place(len(r.requests) - 1)
 }
 
-// vacate frees the place of a job that is over, once none of its trips is out.
+// vacate frees the place of a request that is over, once none of its attempts is out.
 func (r *Router) vacate(p Place) {
-	if j := &r.jobs[p]; j.live && j.over && j.out == 0 {
+	if j := &r.requests[p]; j.live && j.over && j.out == 0 {
 		j.live = false
 		r.free = append(r.free, p)
 		r.out.Vacate(p)
 	}
 }
 
-// rouse has the alarm ring when something is due: each sweep while there are jobs, else for the list and for news. It only
-// ever comes earlier by that, so that ever new jobs don't put it off. What went by time alone meanwhile is made up for.
+// rouse has the alarm ring when something is due: each sweep while there are requests, else for the list and for news. It only
+// ever comes earlier by that, so that ever new requests don't put it off. What went by time alone meanwhile is made up for.
 func (r *Router) rouse(now int64) {
 	if now-r.looked >= 2*r.sweep && r.wakeAt > now {
 		r.Wake(now)
 		return
 	}
 	at := now + r.sweep
-	if len(r.jobs) == len(r.free) {
+	if len(r.requests) == len(r.free) {
 		at = now + max(r.span, r.sweep) // as words of others may be due by then
 		if r.asking && r.watchAt > 0 {
 			at = min(at, r.watchAt)
@@ -164,24 +164,24 @@
 	}
 }
 
-// enter gives a tariff its number: the one that it had under an earlier contract, with what was learnt then, else a new
-// one, since jobs in hand may have any other. The first of a contract makes all those before past.
-func (r *Router) enter(t tariff, first bool) int {
-	for i := range r.tariffs {
-		r.tariffs[i].past = r.tariffs[i].past || first
+// enter gives a class its number: the one that it had under an earlier settings, with what was learnt then, else a new
+// one, since requests in hand may have any other. The first of settings makes all those before past.
+func (r *Router) enter(t class, first bool) int {
+	for i := range r.classes {
+		r.classes[i].retired = r.classes[i].retired || first
 	}
-	for i := range r.tariffs {
-		if k := &r.tariffs[i]; k.past && k.Tariff == t.Tariff {
-			k.share, k.farewell, k.past = t.share, t.farewell, false
+	for i := range r.classes {
+		if k := &r.classes[i]; k.retired && k.Class == t.Class {
+			k.share, k.rejectFor, k.retired = t.share, t.rejectFor, false
 			return i
 		}
 	}
-	r.tariffs = append(r.tariffs, t)
-	return len(r.tariffs) - 1
+	r.classes = append(r.classes, t)
+	return len(r.classes) - 1
 }
 
-// Tariffs is how many kinds of tariffs the router has had.
-func (r *Router) Tariffs() int { return len(r.tariffs) }
+// Classes is how many kinds of classes the router has had.
+func (r *Router) ClassCount() int { return len(r.classes) }
 
 func (r *Router) group(g int) *group {
 	for len(r.groups) <= g {
@@ -190,22 +190,22 @@
 	return &r.groups[g]
 }
 
-// mayHaveRun is the earliest trip left that may have run, but for one, or nil.
-func (j *job) mayHaveRun(but int) *trip {
-	for i := range j.trips {
-		if k := &j.trips[i]; i != but && (k.out || k.ending == Done || k.ending > Moot) {
+// mayHaveRun is the earliest attempt left that may have run, but for one, or nil.
+func (j *request) mayHaveRun(but int) *attempt {
+	for i := range j.attempts {
+		if k := &j.attempts[i]; i != but && (k.out || k.ending == Succeeded || k.ending > NotSent) {
 			return k
 		}
 	}
 	return nil
 }
 
-func (j *job) triedOut(n int32) bool {
-	return slices.ContainsFunc(j.trips, func(k trip) bool { return k.out && k.node == n })
+func (j *request) isOutAt(n int32) bool {
+	return slices.ContainsFunc(j.attempts, func(k attempt) bool { return k.out && k.node == n })
 }
 
-func (j *job) tried(n int32) bool {
-	return slices.ContainsFunc(j.trips, func(k trip) bool { return k.node == n })
+func (j *request) tried(n int32) bool {
+	return slices.ContainsFunc(j.attempts, func(k attempt) bool { return k.node == n })
 }
 
 // chance is a multiply-with-carry generator.
@@ -249,15 +249,15 @@
 }
 
 // Forget lets go of a node that has left, and tells whether it did: its number may then name another. Nothing of it is
-// out by then and no job in hand has been to it, and the grace of its leaving is past; where nodes called gone may
+// out by then and no request in hand has been to it, and the grace of its leaving is past; where nodes called gone may
 // serve, it has been silent for as long as idle connections are kept.
 func (r *Router) Forget(now int64, n int) bool {
 	m := &r.nodes[n]
 	if m.standing != Gone || m.group < 0 || m.probing || now <= m.told+2*r.grace || r.open(m) && now < m.heard+r.keep {
 		return false
 	}
-	for i := range r.jobs {
-		if j := &r.jobs[i]; j.live && j.tried(m.self) {
+	for i := range r.requests {
+		if j := &r.requests[i]; j.live && j.tried(m.self) {
 			return false
 		}
 	}
@@ -298,7 +298,7 @@
 // Lean is the logarithm of how much stronger the node has proved than its weight says.
 func (r *Router) Summed(now int64, n int, held, lean float64, age int64) {
 	if m := &r.nodes[n]; m.group >= 0 && now-age >= m.allAt {
-		m.all, m.lean, m.allAt, r.summedAt = held, lean, now-age, now
+		m.all, m.logStrength, m.allAt, r.summedAt = held, lean, now-age, now
 	}
 }
 
@@ -312,10 +312,10 @@
 
 // strength is the node's weight, and what it has proved to be beside that, which fades where nobody says so any more.
 func (m *node) strength(now int64, fade int64) float64 {
-	if m.lean == 0 {
+	if m.logStrength == 0 {
 		return m.weight
 	}
-	return m.weight * math.Exp(m.lean*max(0, 1-float64(now-m.allAt)/float64(8*fade)))
+	return m.weight * math.Exp(m.logStrength*max(0, 1-float64(now-m.allAt)/float64(8*fade)))
 }
 
 // Shows takes in a report of a node that another router was given.
@@ -328,7 +328,7 @@
 // near tells whether the node is in the router's own zone, as all are where no zone is said.
 func (r *Router) near(m *node) bool { return r.zone < 0 || m.zone == r.zone }
 
-// load is how many trips a node is known to hold, by the newest that others or itself have said, which fades.
+// load is how many attempts a node is known to hold, by the newest that others or itself have said, which fades.
 func (m *node) load(now, fade int64) float64 {
 	held, at := m.shown, m.shownAt
 	if m.allAt > at {
@@ -337,8 +337,8 @@
 	return held * max(0, 1-float64(now-at)/float64(fade))
 }
 
-// passed is how many times over the node has answered as many trips as were there when this one left.
-func (m *node) passed(k *trip) float64 { return (m.answers - k.answers) / (k.among + 1) }
+// passed is how many times over the node has answered as many attempts as were there when this one left.
+func (m *node) passed(k *attempt) float64 { return (m.answers - k.answers) / (k.among + 1) }
 
 // decay takes off what of a node's work has gone by since.
 func (r *Router) decay(m *node, now int64) {
@@ -369,5 +369,5 @@
 // Seen tells what this router saw of a node: that it set it aside, or had an answer in the span.
 func (r *Router) Seen(now int64, n int, span int64) (failed, answered bool) {
 	m := &r.nodes[n]
-	return now < m.aside && m.failures >= distrust, m.served > 0 && now-m.served < span
+	return now < m.ejectedUntil && m.failures >= distrust, m.served > 0 && now-m.served < span
 }
--- a/balance/words.go
+++ b/balance/words.go
@@ -3,67 +3,67 @@
 import "encoding/binary"
 
 // What routers tell each other: the time, then of some nodes their mark, the age of their position in
-// milliseconds rounded up, their role, the trips that they hold and how busy they are.
+// milliseconds rounded up, their role, the attempts that they hold and how busy they are.
 const (
 	headingLen = 8
 	newsLen    = 8
-	mostWords  = 256
+	maxMessage = 256
 	oldest     = 1<<16 - 1
 	mostHeld   = 1<<6 - 1
 	allBusy    = 1<<8 - 1
 )
 
-func heading(now int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(now)) }
+func appendHeader(now int64) []byte { return binary.BigEndian.AppendUint64(nil, uint64(now)) }
 
-func appendNews(words []byte, now int64, m *node) []byte {
+func appendReport(words []byte, now int64, m *node) []byte {
 	words = binary.BigEndian.AppendUint32(words, m.mark)
 	words = binary.BigEndian.AppendUint16(words, uint16(min((now-m.position)/1e6+1, oldest)))
 	return append(words, byte(m.role)<<6|byte(min(m.shown, mostHeld)), byte(min(m.busy, 1)*allBusy))
 }
 
-// beheaded is when the words were said, and what comes after that.
-func beheaded(words []byte) (at int64, rest []byte) {
+// splitHeader is when the words were said, and what comes after that.
+func splitHeader(words []byte) (at int64, rest []byte) {
 	if len(words) < headingLen {
 		return 0, nil
 	}
 	return int64(binary.BigEndian.Uint64(words)), words[headingLen:]
 }
 
-// newsIn is the first news in the words. Not given: too old to say how old.
-func newsIn(words []byte, at int64) (mark uint32, rep Report) {
+// decodeReport is the first news in the words. Not given: too old to say how old.
+func decodeReport(words []byte, at int64) (mark uint32, rep Report) {
 	age := int64(binary.BigEndian.Uint16(words[4:]))
 	return binary.BigEndian.Uint32(words), Report{Given: age < oldest, Position: at - age*1e6,
 		Role: Role(words[6] >> 6), Held: float64(words[6] & mostHeld),
 		Busy: float64(words[7]) / allBusy}
 }
 
-// knock asks one other router whether words pass.
-func (r *Router) knock(now int64) {
+// ping asks one other router whether words pass.
+func (r *Router) ping(now int64) {
 	to := 1
 	if r.me > 0 {
 		to = int(r.chance.below(int64(r.me)))
 	}
-	r.out.Tell(to, append(heading(now), 0))
+	r.out.Tell(to, append(appendHeader(now), 0))
 }
 
-// asked answers one that asks whether words pass, and tells whether that was all.
-func (r *Router) asked(now int64, from int, words []byte) bool {
+// answerPing answers one that asks whether words pass, and tells whether that was all.
+func (r *Router) answerPing(now int64, from int, words []byte) bool {
 	if len(words) != headingLen+1 {
 		return false
 	}
-	r.out.Tell(from, heading(now))
+	r.out.Tell(from, appendHeader(now))
 	return true
 }
 
-// tellNews tells all other routers of the nodes that this one had reports of within the period.
-func (r *Router) tellNews(now int64) {
-	words := heading(now)
+// tellReports tells all other routers of the nodes that this one had reports of within the period.
+func (r *Router) tellReports(now int64) {
+	words := appendHeader(now)
 	for i := range r.nodes {
 		m := &r.nodes[i]
 		if m.answered < now-r.period || m.position == 0 || !r.near(m) || !r.worthTelling(m, now) {
 			continue
 		}
-		if words = appendNews(words, now, m); len(words)+newsLen > mostWords {
+		if words = appendReport(words, now, m); len(words)+newsLen > maxMessage {
 			r.out.Tell(-1, words)
 			words = words[:headingLen]
 		}
@@ -73,11 +73,11 @@
 	}
 }
 
-// hearNews takes in news of nodes that the own list has named, and tells whether any is in the own zone; a mark that two
+// hearReport takes in news of nodes that the own list has named, and tells whether any is in the own zone; a mark that two
 // of them share names none.
-func (r *Router) hearNews(now int64, words []byte) (near bool) {
-	for at, rest := beheaded(words); len(rest) >= newsLen && at <= now; rest = rest[newsLen:] {
-		mark, news := newsIn(rest, at)
+func (r *Router) hearReport(now int64, words []byte) (near bool) {
+	for at, rest := splitHeader(words); len(rest) >= newsLen && at <= now; rest = rest[newsLen:] {
+		mark, news := decodeReport(rest, at)
 		if named := r.marks[mark]; len(named) == 1 && news.Given {
 			m := &r.nodes[named[0]]
 			r.reported(m, now, news)
--- a/cmd/sedgestream/fleet_test.go
+++ b/cmd/sedgestream/fleet_test.go
@@ -9,11 +9,11 @@
 	"testing"
 	"time"
 
-	"sedgestream/internal/advise"
+	"sedgestream/internal/inspect"
 	"sedgestream/internal/lab/day"
 	"sedgestream/internal/lab/fleet"
+	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
-	"sedgestream/internal/words"
 )
 
 var (
@@ -71,12 +71,12 @@
 		t.Errorf("%d\n%s%s", code, out, errs)
 	}
 	r.Kill(4)
-	var seen advise.Sight
+	var seen inspect.Sight
 	standin.Until(t, "the death known to all", func() bool {
-		seen = advise.Sight{}
+		seen = inspect.Sight{}
 		_, out, _ = sedgestream(t, "fleet", "show", "--at", at, "--json")
 		return json.Unmarshal([]byte(out), &seen) == nil && len(seen.Views) == 4 && len(seen.Silent) == 0 &&
-			!slices.ContainsFunc(seen.Views, func(v *words.Fleet) bool { return len(v.View.Members) != 4 })
+			!slices.ContainsFunc(seen.Views, func(v *message.Fleet) bool { return len(v.View.Members) != 4 })
 	})
 	for _, v := range seen.Views {
 		if v.Holds.Senders != 5 {
--- a/cmd/sedgestream/hardcases_test.go
+++ b/cmd/sedgestream/hardcases_test.go
@@ -10,8 +10,8 @@
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/lab/day"
 	"sedgestream/internal/lab/fleet"
+	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
-	"sedgestream/internal/words"
 )
 
 // hardPeriod is that of probes in hard cases.
@@ -56,7 +56,7 @@
 // drainsBy sees that nothing of forwarders comes to the third replica once so many periods, and the grace, are over.
 func drainsBy(periods float64) func(t *testing.T, r *fleet.Rig, v *fleet.Verdict) {
 	return func(t *testing.T, r *fleet.Rig, v *fleet.Verdict) {
-		last := r.Last(3, func(n int) bool { return n < 3+9-1 }) // the last router heeds no planner
+		last := r.Last(3, func(n int) bool { return n < 3+9-1 }) // the last router follows no planner
 		if at := last.Sub(r.Begun()); v.Drains == 0 || last.IsZero() || at > p(periods)+tierGrace+2*busy {
 			t.Errorf("%d drains; the last job came to the node %v after the day's begin", v.Drains, at)
 		}
@@ -191,7 +191,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if known = len(f.All) + f.Beyond; known > words.FleetRecords && len(f.All) > words.FleetRecords { // that has its bounds as well
+		if known = len(f.All) + f.Beyond; known > message.FleetRecords && len(f.All) > message.FleetRecords { // that has its bounds as well
 			t.Errorf("an operator is told of %d", len(f.All))
 		}
 	}
--- a/cmd/sedgestream/load_test.go
+++ b/cmd/sedgestream/load_test.go
@@ -10,14 +10,14 @@
 	"sedgestream/internal/standin"
 )
 
-// load is 24 clients that ask one query after the other, of each tariff in turn, until its end.
+// load is 24 clients that ask one query after the other, of each class in turn, until its end.
 type load struct {
 	t                     *testing.T
 	asked, answered, done atomic.Int64 // done: by a value
 	clients               sync.WaitGroup
 	stop                  chan struct{}
 	mu                    sync.Mutex
-	said                  map[string]string // by the job's id
+	said                  map[string]string // by the request's id
 }
 
 func newLoad(t *testing.T, f *standin.Fleet, wait int) *load {
@@ -57,7 +57,7 @@
 	return l
 }
 
-// end waits for the answers owed, and sees that each job had one.
+// end waits for the answers owed, and sees that each request had one.
 func (l *load) end(least int64) {
 	close(l.stop)
 	l.clients.Wait()
@@ -66,7 +66,7 @@
 	}
 }
 
-// ledger has the trips of each job and its tariff, and sees that nothing ran again that must not.
+// ledger has the attempts of each request and its class, and sees that nothing ran again that must not.
 func (l *load) ledger(nodes []*standin.Node) (trips map[string][]standin.Ran, tariff map[string]string) {
 	trips, tariff = map[string][]standin.Ran{}, map[string]string{}
 	for _, n := range nodes {
--- a/cmd/sedgestream/main.go
+++ b/cmd/sedgestream/main.go
@@ -1,4 +1,4 @@
-// Command sedgestream is one router: it takes jobs from clients, steers them to the nodes of a replicated
+// Command sedgestream is one router: it takes requests from clients, steers them to the nodes of a replicated
 // store, and answers. Beside that it answers operators' questions about the files that routers read.
 package main
 
@@ -15,7 +15,7 @@
 	"go.uber.org/zap"
 	"go.uber.org/zap/zapcore"
 
-	"sedgestream/internal/advise"
+	"sedgestream/internal/inspect"
 	"sedgestream/internal/service"
 	"sedgestream/internal/termsfile"
 )
@@ -57,7 +57,7 @@
 	Tier string `type:"path" placeholder:"FILE" env:"SEDGESTREAM_TIER" help:"File of the tier; where it has members, this router is one of them."`
 }
 
-// carries is what routers that carry jobs are told, whether they heed planners or not.
+// carries is what routers that carry requests are told, whether they apply planners or not.
 type carries struct {
 	Terms    string `type:"path" placeholder:"FILE" env:"SEDGESTREAM_TERMS" help:"File of terms; read again on SIGHUP."`
 	LogLevel string `enum:"debug,info,warn,error" default:"info" env:"SEDGESTREAM_LOG_LEVEL" help:"Least level that is logged: ${enum}."`
@@ -147,8 +147,8 @@
 	JSON bool `name:"json" help:"Answer in JSON."`
 }
 
-func (f form) desk() *advise.Desk {
-	return &advise.Desk{Out: os.Stdout, Err: os.Stderr, JSON: f.JSON, Env: os.Getenv}
+func (f form) desk() *inspect.Desk {
+	return &inspect.Desk{Out: os.Stdout, Err: os.Stderr, JSON: f.JSON, Env: os.Getenv}
 }
 
 type check struct {
@@ -196,7 +196,7 @@
 	if c.At.IsZero() {
 		c.At = time.Now()
 	}
-	return c.desk().Explain(c.File, c.Config, advise.Asked{Tariff: c.Tariff, Group: c.Group, Key: c.Key, Session: c.Session,
+	return c.desk().Explain(c.File, c.Config, inspect.Asked{Tariff: c.Tariff, Group: c.Group, Key: c.Key, Session: c.Session,
 		Again: c.Again, At: c.At})
 }
 
@@ -238,7 +238,7 @@
 		os.Exit(misuse)
 	}
 	if err = ctx.Run(); err != nil {
-		if !errors.Is(err, advise.Wrong) {
+		if !errors.Is(err, inspect.Wrong) {
 			fmt.Fprintln(os.Stderr, "sedgestream:", err)
 		}
 		os.Exit(wrong)
--- a/cmd/sedgestream/main_test.go
+++ b/cmd/sedgestream/main_test.go
@@ -137,7 +137,7 @@
 	later.Expect("")
 }
 
-// A connection that a node ends while it is idle costs no job anything.
+// A connection that a node ends while it is idle costs no request anything.
 func TestNodeEndsIdleConnections(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	n.Job = func(b *pgproto3.Backend, c net.Conn, _ string) { n.Row(b, "v"); c.Close() }
@@ -184,7 +184,7 @@
 	f.Open(standin.View(20000)).Expect("from copy")
 }
 
-// The outcomes of trips that go wrong, for each kind of repeat: what the client is told, and how often a node got it.
+// The outcomes of attempts that go wrong, for each kind of repeat: what the client is told, and how often a node got it.
 func TestTroubleAtNodes(t *testing.T) {
 	full := func(n *standin.Node) { n.Job = n.Refuse("53300") }
 	fatal := func(n *standin.Node) {
@@ -253,7 +253,7 @@
 	f.Start(os.Args[0]).Open(standin.Change("once", 1<<31-1)).Expect("57014")
 }
 
-// A client that goes while its job waits is noticed, and nothing more goes out for that job.
+// A client that goes while its request waits is noticed, and nothing more goes out for that request.
 func TestClientGone(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	let := make(chan struct{})
@@ -396,7 +396,7 @@
 	}
 }
 
-// With all of the clients' descriptors in use an idle connection makes room; with none idle, a job is turned away and
+// With all of the clients' descriptors in use an idle connection makes room; with none idle, a request is turned away and
 // its connection ends.
 func TestOutOfDescriptors(t *testing.T) {
 	n := standin.NewNode(t, "source")
@@ -488,8 +488,8 @@
 	f.Open("").Expect("empty")
 }
 
-// Clients that say nothing hold no place that others need, and their connections end; one that uses the id of a job in
-// hand is told that this is wrong, and the job goes on.
+// Clients that say nothing hold no place that others need, and their connections end; one that uses the id of a request in
+// hand is told that this is wrong, and the request goes on.
 func TestBadClients(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	let := make(chan struct{})
@@ -550,7 +550,7 @@
 }
 
 // A reload under load: the list is asked for at the new address, which counts its versions otherwise, and the watch at
-// the old one ends. A wrong file changes nothing, and no job notices.
+// the old one ends. A wrong file changes nothing, and no request notices.
 func TestReload(t *testing.T) {
 	primary, replica := standin.Pair(t)
 	let := make(chan struct{})
--- a/cmd/sedgestream/moments_test.go
+++ b/cmd/sedgestream/moments_test.go
@@ -20,7 +20,7 @@
 	"sedgestream/internal/standin"
 )
 
-// Clients that leave while a connection comes up for their jobs: none of these is sent on as it is up.
+// Clients that leave while a connection comes up for their requests: none of these is sent on as it is up.
 func TestLeavesWhileItsConnectionComesUp(t *testing.T) {
 	t.Parallel()
 	n := standin.NewNode(t, "source")
@@ -48,7 +48,7 @@
 	}
 }
 
-// A node begins to drain while connections come up for jobs: past the grace nothing new is begun there, and the jobs go elsewhere.
+// A node begins to drain while connections come up for requests: past the grace nothing new is begun there, and the requests go elsewhere.
 func TestDrainsWhileAConnectionComesUp(t *testing.T) {
 	t.Parallel()
 	primary, replica := standin.Pair(t)
@@ -71,7 +71,7 @@
 	for _, c := range clients {
 		answers[c.Answer()]++
 	}
-	if answers["from source"] == 0 || answers["from source"]+answers["53300"] < len(clients) { // how many the primary takes at a time goes by lot
+	if answers["from source"] == 0 || answers["from source"]+answers["53300"] < len(clients) { // how many the primary takes at a time goes at random
 		t.Errorf("answered %v", answers)
 	}
 	if jobs := replica.Got(); len(jobs) != 0 {
@@ -79,7 +79,7 @@
 	}
 }
 
-// A client that writes more than is read at a time and leaves: what waits behind its jobs in hand is not sent, though its end
+// A client that writes more than is read at a time and leaves: what waits behind its requests in hand is not sent, though its end
 // stands behind bytes that nobody reads.
 func TestLeavesBehindAFullBuffer(t *testing.T) {
 	t.Parallel()
@@ -125,7 +125,7 @@
 			n := standin.NewNode(t, "source")
 			n.Job = job
 			f := newFleet(t, n)
-			f.Contract = strings.ReplaceAll(standin.Contract, `"aimUs":80000`, `"aimUs":300000`) // the node is not set aside
+			f.Contract = strings.ReplaceAll(standin.Contract, `"aimUs":80000`, `"aimUs":300000`) // the node is not ejected
 			f.Start(os.Args[0])
 			c := f.Open("")
 			c.Expect("empty")
@@ -241,7 +241,7 @@
 // Three routers are told to end one after the other, while a third of the nodes hang and clients go on writing on each
 // connection, whatever is answered. The ledgers of nodes and clients judge: whatever went to a node has one
 // whole answer, in time; what has none was never sent; no connection ends inside an answer; and each router ends as its last
-// job does.
+// request does.
 func TestRestartsUnderPipelines(t *testing.T) {
 	t.Parallel()
 	const wait, open, pace = 1500, 20, 15 * time.Millisecond
@@ -385,7 +385,7 @@
 }
 
 // Discovery takes calls and answers none for a while, as a node begins to drain; at its return, just behind a call that is never
-// answered, what it has counts as told. No router begins a job at that node past the grace, though clients ask all the time.
+// answered, what it has counts as told. No router begins a request at that node past the grace, though clients ask all the time.
 func TestDrainsAsDiscoveryReturns(t *testing.T) {
 	t.Parallel()
 	const grace = time.Second
@@ -453,8 +453,8 @@
 	}
 }
 
-// The first trip of a numbered job ends as one that may have run, and the connection for the next takes until its window is over:
-// the repeat is not sent, and the job is terminated. In its window it is.
+// The first attempt of a deduplicated request ends as one that may have run, and the connection for the next takes until its window is
+// over: the repeat is not sent, and the request is failed. In its window it is.
 func TestRepeatWhoseConnectionComesUpLate(t *testing.T) {
 	t.Parallel()
 	for _, c := range []struct {
--- a/cmd/sedgestream/switch_test.go
+++ b/cmd/sedgestream/switch_test.go
@@ -11,7 +11,7 @@
 )
 
 // The shapes between which the test moves: the present one, and one without second copies, checks at nodes and words between
-// routers, with other times, more trips, a class more, and the classes in another order.
+// routers, with other times, more attempts, a class more, and the classes in another order.
 var calm = strings.ReplaceAll(brisk, `"aimUs":80000`, `"aimUs":400000`)
 
 var shapes = []string{
@@ -22,8 +22,8 @@
 		`"await"`, `"off"`, `"peers":true`, `"peers":false,"retryAfter":true,"maxRetryAfterUs":2000000`, `"me":0`, `"me":0,"locality":"z"`).Replace(calm),
 }
 
-// A move to another shape and back, many times under load, with failing, silent and slow nodes and jobs of each kind in hand:
-// each job has one answer, none runs twice that must not or is bounced after it may have run, and all switches are taken up.
+// A move to another shape and back, many times under load, with failing, silent and slow nodes and requests of each kind in hand:
+// each request has one answer, none runs twice that must not or is rejected after it may have run, and all switches are taken up.
 func TestSwitchUnderLoad(t *testing.T) {
 	nodes := []*standin.Node{standin.NewNode(t, "source"), standin.NewNode(t, "copy"), standin.NewNode(t, "copy")}
 	troubles := []standin.Trouble{{Part: 0.04, State: "XX000"}, {Part: 0.002, Delay: -1}, {Part: 0.1, Delay: 60 * time.Millisecond},
@@ -57,7 +57,7 @@
 	}
 }
 
-// Jobs in hand keep the class that they came with, whatever becomes of it; a class that has gone is unknown to jobs that come.
+// Requests in hand keep the class that they came with, whatever becomes of it; a class that has gone is unknown to requests that come.
 // What only a restart changes is named and keeps its value, a wrong file changes nothing and is told with its place, and
 // discovery moves all the same.
 func TestSwitchAtTheDoor(t *testing.T) {
@@ -83,7 +83,7 @@
 	c.Expect("22023")
 	c.Ask(standin.View(2000))
 	c.Expect("from copy")
-	primary.Die() // the job may have run, and its class was at most once
+	primary.Die() // the request may have run, and its class was at most once
 	if a := held.Answer(); a == "53300" || strings.HasPrefix(a, "from") || strings.Contains(a, "EOF") {
 		t.Errorf("the job in hand was answered by %q", a)
 	}
--- a/cmd/sedgestream/terms_test.go
+++ b/cmd/sedgestream/terms_test.go
@@ -16,12 +16,12 @@
 	"sedgestream/internal/standin"
 )
 
-// brisk is a contract for days of failure: short times, second copies, up to 4 trips.
+// brisk is settings for days of failure: short times, second copies, up to 4 attempts.
 var brisk = strings.NewReplacer(`"deadlineUs":30000000`, `"deadlineUs":2000000`, `"windowUs":30000000`, `"windowUs":1200000`,
 	`"sendCap":3`, `"sendCap":4`, `"secondCopies":false`, `"secondCopies":true`, `"connectTimeoutUs":5000000`,
 	`"connectTimeoutUs":100000`).Replace(standin.Contract)
 
-// generations of terms differ in how long a trip may take, which its node is told, and in how many there may be.
+// generations of terms differ in how long an attempt may take, which its node is told, and in how many there may be.
 var generations = []struct{ time, trips int }{{160, 4}, {320, 3}, {640, 2}}
 
 func termsOf(k int) string {
@@ -29,7 +29,7 @@
 	return fmt.Sprintf(`{"version": 1, "routes": [{"name": "all", "match": {}, "terms": {"trip_time": "%dms", "trips": %d}}]}`, g.time, g.trips)
 }
 
-// A reload every 50 ms under load, with failing, silent and slow nodes: each job has one answer, each of its trips the time
+// A reload every 50 ms under load, with failing, silent and slow nodes: each request has one answer, each of its attempts the time
 // and number of one generation, and nothing runs twice that must not. Every fifth file is wrong and changes nothing.
 func TestTermsReloadUnderLoad(t *testing.T) {
 	nodes := []*standin.Node{standin.NewNode(t, "source"), standin.NewNode(t, "copy"), standin.NewNode(t, "copy"), standin.NewNode(t, "copy")}
@@ -83,7 +83,7 @@
 	}
 }
 
-// generation is the one that gave a trip this time; its node is told what is left of it by then.
+// generation is the one that gave an attempt this time; its node is told what is left of it by then.
 func generation(wait time.Duration) int {
 	for k, g := range generations {
 		if ms := int(wait.Milliseconds()); ms <= g.time && ms > g.time/2 {
@@ -93,7 +93,7 @@
 	return -1
 }
 
-// All nodes of a route fail, all of their jobs or seven of ten, while clients ask again at once: further trips stay within the
+// All nodes of a route fail, all of their requests or seven of ten, while clients ask again at once: further attempts stay within the
 // budget, which they are beyond without one.
 func TestOutageStaysInBudget(t *testing.T) {
 	const share, floor = 0.1, 5
@@ -145,8 +145,8 @@
 	}
 }
 
-// A hard limit below the client's ends a job that a silent node holds; a job beyond those that its route may have in hand is
-// bounced at once, with the shortest time to stay away.
+// A deadline below the client's ends a request that a silent node holds; a request beyond those that its route may have in hand is
+// rejected at once, with the shortest time to stay away.
 func TestTermsAtTheDoor(t *testing.T) {
 	n := standin.NewNode(t, "source").Troubled(0, standin.Trouble{Part: 1, Delay: -1})
 	f := newFleet(t, n)
@@ -253,7 +253,7 @@
 	}
 }
 
-// The file that stands in deploy/, and the one on the operators' page, keep to the contract that they are for.
+// The file that stands in deploy/, and the one on the operators' page, keep to the settings that they are for.
 func TestDeployedTerms(t *testing.T) {
 	page, _ := os.ReadFile("../../docs/operators/route-terms.md")
 	_, example, _ := strings.Cut(string(page), "## A whole file\n")
--- a/cmd/sedgestream/tier_test.go
+++ b/cmd/sedgestream/tier_test.go
@@ -17,8 +17,8 @@
 	"testing"
 	"time"
 
+	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
-	"sedgestream/internal/words"
 )
 
 var (
@@ -53,7 +53,7 @@
 	jobs map[string]*asked
 }
 
-// asked is one job as its client knows it.
+// asked is one request as its client knows it.
 type asked struct {
 	tariff    string
 	forwarder int
@@ -365,7 +365,7 @@
 		default:
 			answered++
 		}
-		// Rule 2: no second run of what must not, none of what was bounced, and none of a number after its window.
+		// Rule 2: no second run of what must not, none of what was rejected, and none of a number after its window.
 		ran := runs[id]
 		if j.tariff == "once" && (len(ran) > 1 || len(ran) > 0 && j.answer == "53300") {
 			t.Errorf("job %s ran %d times and was answered by %q", id, len(ran), j.answer)
@@ -459,7 +459,7 @@
 	if code != 0 || !strings.Contains(out, "draining, list 9") || strings.Count(out, "f3") < 2 {
 		t.Errorf("%d\n%s%s", code, out, errs)
 	}
-	var shown []words.Show
+	var shown []message.Show
 	if _, out, _ := sedgestream(t, "plan", "show", "--tier", x.path, "--name", "p1", "--json"); json.Unmarshal([]byte(out), &shown) != nil ||
 		len(shown) != 1 || len(shown[0].Forwarders) != 4 {
 		t.Errorf("%s", out)
@@ -476,27 +476,27 @@
 // Garbage, another version, and words that one may not say end a connection with a reason, and harm nobody else.
 func TestPlannerHangsUp(t *testing.T) {
 	x := newTier(t, 0, 1, nil)
-	good := &words.Word{Hello: &words.Hello{Version: words.Version, Kind: words.Operator}}
-	for name, say := range map[string]func(c *words.Conn){
-		"another version: 9": func(c *words.Conn) {
-			c.Write(&words.Word{Hello: &words.Hello{Version: 9, Kind: words.Planner}}, time.Second)
+	good := &message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Operator}}
+	for name, say := range map[string]func(c *message.Conn){
+		"another version: 9": func(c *message.Conn) {
+			c.Write(&message.Word{Hello: &message.Hello{Version: 9, Kind: message.Planner}}, time.Second)
 		},
-		"hello comes first": func(c *words.Conn) { c.Write(&words.Word{Show: &words.Show{}}, time.Second) },
-		"no word of ours":   func(c *words.Conn) { io.WriteString(c.Sock, "\x00\x00\x00\x04\xc1\xc1\xc1\xc1") },
-		"a frame of":        func(c *words.Conn) { io.WriteString(c.Sock, "GET / HTTP/1.1\r\n\r\n") },
-		"may not say this": func(c *words.Conn) {
+		"hello comes first": func(c *message.Conn) { c.Write(&message.Word{Show: &message.Show{}}, time.Second) },
+		"no word of ours":   func(c *message.Conn) { io.WriteString(c.Sock, "\x00\x00\x00\x04\xc1\xc1\xc1\xc1") },
+		"a frame of":        func(c *message.Conn) { io.WriteString(c.Sock, "GET / HTTP/1.1\r\n\r\n") },
+		"may not say this": func(c *message.Conn) {
 			c.Write(good, time.Second)
-			c.Write(&words.Word{Report: &words.Report{}}, time.Second)
+			c.Write(&message.Word{Report: &message.Report{}}, time.Second)
 		},
-		"a name of 100 bytes": func(c *words.Conn) {
-			c.Write(&words.Word{Hello: &words.Hello{Version: 1, Kind: words.Planner, Name: strings.Repeat("n", 100)}}, time.Second)
+		"a name of 100 bytes": func(c *message.Conn) {
+			c.Write(&message.Word{Hello: &message.Hello{Version: 1, Kind: message.Planner, Name: strings.Repeat("n", 100)}}, time.Second)
 		},
 	} {
 		sock, err := net.Dial("tcp", x.addrs[0])
 		if err != nil {
 			t.Fatal(err)
 		}
-		c := words.On(sock)
+		c := message.On(sock)
 		say(c)
 		for {
 			w, err := c.Read(standin.Patience)
@@ -517,14 +517,14 @@
 	}
 }
 
-// A forwarder that ends takes its trips along: planners count them no longer, though its last word was of a full house.
+// A forwarder that ends takes its attempts along: planners count them no longer, though its last word was of a full house.
 func TestLeaverTakesItsLoadAlong(t *testing.T) {
 	t.Parallel()
 	n := standin.NewNode(t, "source")
 	n.Troubled(50 * time.Millisecond)
 	x := newTier(t, 2, 1, []*standin.Node{n}, `"term": "8s", "period": "2s", "loads": {}`)
 	held := func() float64 {
-		var shown []words.Show
+		var shown []message.Show
 		_, out, _ := sedgestream(t, "plan", "show", "--tier", x.path, "--json")
 		if json.Unmarshal([]byte(out), &shown) != nil || len(shown) != 1 {
 			t.Fatal(out)
--- a/cmd/sedgestream/tierload_test.go
+++ b/cmd/sedgestream/tierload_test.go
@@ -20,7 +20,7 @@
 // Promises of even load, with room for a machine that is busy.
 const (
 	longestHerd = 3 * time.Second
-	longestGap  = 8 * time.Second // without a job, of any node that could serve; one that failed is left alone for up to 5 s by each
+	longestGap  = 8 * time.Second // without a request, of any node that could serve; one that failed is left alone for up to 5 s by each
 )
 
 // This file is named so that its test comes late: in the first half minute the simulations of other packages take the cores, and
--- a/internal/paper/paper.go
+++ b/internal/configfile/paper.go
@@ -4,7 +4,7 @@
 // It takes RFC 8259 in UTF-8 and no more: no member twice, nothing behind the value, no number that float64 can't hold.
 // A file is looked at in two steps, by its form (Read) and by a schema (Sheet.Check); whoever knows what it means adds
 // what else is wrong by JSON pointers (RFC 6901).
-package paper
+package configfile
 
 import (
 	"bytes"
--- a/internal/paper/schema.go
+++ b/internal/configfile/schema.go
@@ -1,4 +1,4 @@
-package paper
+package configfile
 
 import (
 	"bytes"
--- a/internal/decide/plan/lease.go
+++ b/internal/decide/plan/lease.go
@@ -36,7 +36,7 @@
 	Ack     uint64 // the latest that it has heard; 0: none
 	Share   int64
 	Want    int64
-	Least   int64 // what is of any use: the work of one job; 0: whatever there is
+	Least   int64 // what is of any use: the work of one request; 0: whatever there is
 }
 
 // Say is a planner's answer.
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -1,8 +1,8 @@
 // Package share decides what routers and planners tell each other of the load that all routers together put on nodes: what a
-// router says of its own trips (Meter), how a planner adds up what all say (Ledger), and which planner's sum a router goes by
+// router says of its own attempts (Meter), how a planner adds up what all say (Ledger), and which planner's sum a router goes by
 // (Views).
 //
-// One router among hundreds sees next to nothing of a node: its own trips there are nought nearly always. The sum over all
+// One router among hundreds sees next to nothing of a node: its own attempts there are nought nearly always. The sum over all
 // routers is what a proxy that sees all traffic would know, a few hundred milliseconds late. Nothing here is needed for any
 // rule: a sum that is missing, late, too low or too high costs evenness alone, and fades.
 //
@@ -23,7 +23,7 @@
 	MostEntries = 64   // nodes in a digest, however many there are
 	MostNodes   = 4096 // that a ledger adds up
 	MostRouters = 1 << 14
-	MostHeld    = 1 << 16 // trips at a node
+	MostHeld    = 1 << 16 // attempts at a node
 )
 
 // Shown is what a node itself said of its load and place, to whichever router heard it last. The zero value is none.
@@ -38,23 +38,23 @@
 type Part struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Mark     uint32   // the node's, as the module has it
-	Held     float32  // trips that it had out there, on average since it said so last
-	Sent     uint32   // trips since then
-	Failed   uint32   // trips since then that ended without an answer of the node's, or by an error
+	Held     float32  // attempts that it had out there, on average since it said so last
+	Sent     uint32   // attempts since then
+	Failed   uint32   // attempts since then that ended without an answer of the node's, or by an error
 	Group    int64    // the node's, and its weight by the list
 	Weight   float32
 	Shown    *Shown // if the node has said anything since
 }
 
-// Meter is one router's account of its own trips by node.
+// Meter is one router's account of its own attempts by node.
 type Meter struct {
 	of   []slot
 	said int64 // when it was last read
 }
 
 type slot struct {
-	held  int   // trips out
-	sum   int64 // trips times ns since the last reading
+	held  int   // attempts out
+	sum   int64 // attempts times ns since the last reading
 	at    int64 // up to when sum goes
 	sent  uint32
 	fails uint32
@@ -75,7 +75,7 @@
 	return s
 }
 
-// Sent notes a trip to a node.
+// Sent notes an attempt to a node.
 func (m *Meter) Sent(now int64, n int) {
 	s := m.slot(now, n)
 	s.held++
@@ -106,7 +106,7 @@
 }
 
 // Read gives the parts since it was last read, and begins anew; name fills in which node it is. Nodes without a mark (0) are left
-// out; of too many, those that this router has the most trips at are told.
+// out; of too many, those that this router has the most attempts at are told.
 func (m *Meter) Read(now int64, name func(n int, p *Part)) (parts []Part) {
 	span := float64(max(1, now-m.said))
 	m.said = now
@@ -138,8 +138,8 @@
 type Entry struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Mark     uint32
-	Held     float32 // trips out there, as they probably are when routers act on it
-	Rate     float32 // trips a second
+	Held     float32 // attempts out there, as they probably are when routers act on it
+	Rate     float32 // attempts a second
 	Trend    float32 // change of Held in a second
 	Lean     float32 // logarithm of how much stronger the node proves than its weight says
 	Routers  uint16  // that have said so
@@ -158,7 +158,7 @@
 	turn   int
 }
 
-// says is what one router said last. Nodes that it does not name have none of its trips.
+// says is what one router said last. Nodes that it does not name have none of its attempts.
 type says struct {
 	at, span int64
 	parts    []Part
@@ -177,8 +177,8 @@
 	routers   int
 	group     int64
 	weight    float64
-	seenOf    curve   // of its trips
-	proof     float64 // of its strength: logarithms, weighed by trips
+	seenOf    curve   // of its attempts
+	proof     float64 // of its strength: logarithms, weighed by attempts
 	trips     float64
 	lean      float64
 	shown     Shown
@@ -249,7 +249,7 @@
 	}
 }
 
-// Gone lets go of what a router said that has left by its own word: its last trip has ended.
+// Gone lets go of what a router said that has left by its own word: its last attempt has ended.
 func (l *Ledger) Gone(life uint64) { delete(l.of, life) }
 
 // weight is how much of what was said so long ago counts yet: all, then less and less.
@@ -329,15 +329,15 @@
 const (
 	curveOver = 10.0 // seconds over which a group's common curve is learnt
 	leanOver  = 3.0  // and what a node makes of it
-	doubt     = 100  // trips for which a node is taken to be as its weight says
+	doubt     = 100  // attempts for which a node is taken to be as its weight says
 	noise     = 0.15 // logarithm of a strength that is no news; near its limit a node bears no weight that is but noise
 	mostLean  = 1.4
 	clear     = 1.0  // of a single word: more is believed over time only
-	failing   = 0.05 // part of its trips: times of what fails say nothing of strength
-	leastRate = 5.0  // trips a second below which nothing is said
+	failing   = 0.05 // part of its attempts: times of what fails say nothing of strength
+	leastRate = 5.0  // attempts a second below which nothing is said
 )
 
-// curve is how long trips take at a group's nodes by how many trips these hold against their weight: a line, by least squares
+// curve is how long attempts take at a group's nodes by how many attempts these hold against their weight: a line, by least squares
 // over what has been seen lately. Its slope is that of waiting.
 type curve struct{ n, x, xx, y, xy float64 }
 
@@ -363,9 +363,9 @@
 	return max(mean+slope*(x-c.x/c.n), mean/8)
 }
 
-// lean has each node be judged by how long trips take there, against what they take at its group's nodes on average with as many
-// trips in hand (Little's law gives the time from what is held and how fast it comes). A node at which they take twice as long is
-// half as strong as its weight says, whatever the list tells and whatever the node says of itself. It goes by what trips took, not by
+// lean has each node be judged by how long attempts take there, against what they take at its group's nodes on average with as many
+// attempts in hand (Little's law gives the time from what is held and how fast it comes). A node at which they take twice as long is
+// half as strong as its weight says, whatever the list tells and whatever the node says of itself. It goes by what attempts took, not by
 // how evenly load lies: that would feed noise back, and at high load a weight that is wrong by a twentieth does harm.
 func (l *Ledger) lean(since int64) {
 	secs := min(float64(since)/1e9, 1)
@@ -406,12 +406,12 @@
 
 // Of foreseeing.
 const (
-	relax    = 2.0 // times of its trips in which a node's load has become another, as these are under way so long and new ones come
+	relax    = 2.0 // times of its attempts in which a node's load has become another, as these are under way so long and new ones come
 	meanOver = 1.0 // seconds
 )
 
 // foresee reckons what nodes will hold when routers act on a digest: of what a node held beside its mean of late the less is left the
-// older that is, measured by how long its trips take. News that is older than the trips it tells of says nothing but how the node
+// older that is, measured by how long its attempts take. News that is older than the attempts it tells of says nothing but how the node
 // fares as a rule; to act on it would only have all routers flee from and crowd on nodes together.
 func (l *Ledger) foresee(since int64) {
 	part := -math.Expm1(-float64(since) / 1e9 / meanOver)
@@ -476,7 +476,7 @@
 // better are so many times the routers behind a word for it to go before a newer one.
 const better = 1.25
 
-// Heard takes in one planner's entry, and tells what the router is to believe of the node now: trips held there by all, and how
+// Heard takes in one planner's entry, and tells what the router is to believe of the node now: attempts held there by all, and how
 // old that is. Where planners contradict each other, the one that more routers stand behind is right; among equals the newest.
 func (v *Views) Heard(now int64, planner string, e *Entry) (held float64, age int64) {
 	vs := slices.DeleteFunc(v.of[e.Mark], func(o view) bool { return o.planner == planner || now-o.heard > lasts*v.period })
--- a/internal/decide/share/share_test.go
+++ b/internal/decide/share/share_test.go
@@ -19,7 +19,7 @@
 	os.Exit(m.Run())
 }
 
-// What a meter tells is the time for which trips were out, whatever comes in what order, and each trip is told once.
+// What a meter tells is the time for which attempts were out, whatever comes in what order, and each attempt is told once.
 func TestMeter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := int64(1e12)
@@ -177,7 +177,7 @@
 	}
 }
 
-// A node at which trips take twice as long as at others is half as strong, whatever it holds; equal ones lean by nothing at all,
+// A node at which attempts take twice as long as at others is half as strong, whatever it holds; equal ones lean by nothing at all,
 // even though their loads differ; one that fails is not strong because it holds little; and what was learnt fades.
 func TestLean(t *testing.T) {
 	for _, c := range []struct {
@@ -220,7 +220,8 @@
 	}
 }
 
-// What a node held for a moment is forgotten by the time that routers act, unless its trips take as long; what it holds as a rule is not.
+// What a node held for a moment is forgotten by the time that routers act, unless its attempts take as long; what it holds as a rule is
+// not.
 func TestForesee(t *testing.T) {
 	for takes, least := range map[float64]float64{10: 4, 2000: 15} { // ms
 		l, now := NewLedger(100*ms), int64(1e12)
--- a/internal/decide/terms/book.go
+++ b/internal/decide/terms/book.go
@@ -6,7 +6,7 @@
 	"sedgestream/balance"
 )
 
-// Book is a draft made ready: which route a job takes, and what holds for it. It never changes.
+// Book is a draft made ready: which route a request takes, and what holds for it. It never changes.
 type Book struct {
 	index     *index
 	routes    []Route
@@ -35,7 +35,7 @@
 	window window
 	credit credit
 	times  sketch
-	cached [2]quantile // of trips' time-outs and of copies
+	cached [2]quantile // of attempts' time-outs and of copies
 }
 
 type quantile struct {
@@ -110,7 +110,7 @@
 // Len is how many routes there are.
 func (b *Book) Len() int { return len(b.routes) }
 
-// Find is the route that the job takes, or nil. It may be called by many at once.
+// Find is the route that the request takes, or nil. It may be called by many at once.
 func (b *Book) Find(j *Job) *Route {
 	if k := b.index.find(j); k >= 0 {
 		return &b.routes[k]
@@ -140,7 +140,7 @@
 	return 0, until
 }
 
-// Enter takes a job in, whose client waits so long, and says what holds for it to its last trip: for how long it is to
+// Enter takes a request in, whose client waits so long, and says what holds for it to its last attempt: for how long it is to
 // be served, and what the module may do with it. Leave has to follow.
 func (r *Route) Enter(now, wait int64) (stay Stay) {
 	c, l := r.clause(now), r.learnt
@@ -153,10 +153,10 @@
 	}
 	l.inHand++
 	t := &stay.Terms
-	*t = balance.Terms{Trips: int32(c.Trips), Refused: c.InHand > 0 && l.inHand > c.InHand, NoCopies: c.NoCopies,
+	*t = balance.Terms{Attempts: int32(c.Trips), Refused: c.InHand > 0 && l.inHand > c.InHand, NoCopies: c.NoCopies,
 		Counted: c.Budget > 0 || c.CopyPart > 0, InZone: c.InZone, Again: uint16(c.On), Pause: c.Base, MostPause: c.Cap,
-		Jitter: int64(c.Jitter * balance.Whole), TripShare: int64(c.Trip.Share * balance.Whole),
-		TripTime: r.time(&c.Trip, 0), AwayLeast: c.AwayLeast, AwayMost: c.AwayMost}
+		Jitter: int64(c.Jitter * balance.Whole), AttemptShare: int64(c.Trip.Share * balance.Whole),
+		AttemptTime: r.time(&c.Trip, 0), AwayLeast: c.AwayLeast, AwayMost: c.AwayMost}
 	if t.CopyAfter = r.time(&c.Copies, 1); c.Copies.Share > 0 {
 		t.CopyAfter = max(1, int64(c.Copies.Share*float64(stay.Wait)))
 	}
@@ -185,7 +185,7 @@
 	return min(max(q.at, l.Floor), l.Ceiling)
 }
 
-// Stay is a job's time with its route, by the terms that it came with. The zero value is that of a job without one.
+// Stay is a request's time with its route, by the terms that it came with. The zero value is that of a request without one.
 type Stay struct {
 	Wait   int64
 	Terms  balance.Terms
@@ -193,7 +193,7 @@
 	clause *Clause
 }
 
-// Sent counts the job's first trip.
+// Sent counts the request's first attempt.
 func (s *Stay) Sent(now int64) {
 	if s.route == nil {
 		return
@@ -205,7 +205,7 @@
 	}
 }
 
-// Grant tells whether the job may have a further trip, by the budget, and a second copy, by their part; and counts it.
+// Grant tells whether the request may have a further attempt, by the budget, and a second copy, by their part; and counts it.
 func (s *Stay) Grant(now int64, copy bool) bool {
 	if s.route == nil {
 		return true
@@ -221,21 +221,21 @@
 	return true
 }
 
-// Ended learns from a trip. One that was ended for its time would have taken longer, so it counts as twice that: a
+// Ended learns from an attempt. One that was ended for its time would have taken longer, so it counts as twice that: a
 // time-out too short for its route doubles until answers come.
-func (s *Stay) Ended(e balance.Ending, took int64) {
+func (s *Stay) Ended(e balance.Outcome, took int64) {
 	if s.route == nil || !s.route.learning {
 		return
 	}
 	switch e {
-	case balance.Done:
+	case balance.Succeeded:
 		s.route.learnt.times.add(took)
 	case balance.TimedOut:
 		s.route.learnt.times.add(2 * took)
 	}
 }
 
-// Leave ends the job's time.
+// Leave ends the request's time.
 func (s *Stay) Leave() {
 	if s.route != nil {
 		s.route.learnt.inHand--
--- a/internal/decide/terms/budget.go
+++ b/internal/decide/terms/budget.go
@@ -1,7 +1,7 @@
 package terms
 
-// window counts the first and the further trips of a route over a time that slides on by parts of it, so that further
-// trips stay within their share wherever the window lies on those parts.
+// window counts the first and the further attempts of a route over a time that slides on by parts of it, so that further
+// attempts stay within their share wherever the window lies on those parts.
 type window struct {
 	part           int64 // of the window, in ns; 0: nothing is counted
 	at             int64 // the number of the part that is being filled
@@ -42,7 +42,7 @@
 	}
 }
 
-// grant counts a further trip if there is one left: of the share of first trips, or of those that a quiet route has.
+// grant counts a further attempt if there is one left: of the share of first attempts, or of those that a quiet route has.
 func (w *window) grant(now int64, share float64, floor int) bool {
 	if w.part == 0 {
 		return true
@@ -56,8 +56,8 @@
 	return true
 }
 
-// credit is what a route has saved up for second copies: each first trip adds the part that may have one, so that
-// copies never exceed that part of the jobs; idle times save up only so many, so that they don't come all together.
+// credit is what a route has saved up for second copies: each first attempt adds the part that may have one, so that
+// copies never exceed that part of the requests; idle times save up only so many, so that they don't come all together.
 type credit int64
 
 const (
@@ -71,6 +71,6 @@
 
 func (c *credit) spend() { *c -= whole }
 
-// ShortestWindow is the shortest time that further trips are counted over, in ns; in a shorter one hardly a first trip
+// ShortestWindow is the shortest time that further attempts are counted over, in ns; in a shorter one hardly a first attempt
 // would lie.
 const ShortestWindow = 100_000_000
--- a/internal/decide/terms/explain.go
+++ b/internal/decide/terms/explain.go
@@ -11,32 +11,32 @@
 	"sedgestream/balance"
 )
 
-// Explanation is what becomes of a job by a book.
+// Explanation is what becomes of a request by a book.
 type Explanation struct {
-	Route   string   `json:"route"`            // "" if none fits: the contract alone holds
+	Route   string   `json:"route"`            // "" if none fits: the settings alone holds
 	Season  string   `json:"season,omitempty"` // whose clause holds
 	Others  []Other  `json:"others"`
 	Line    []Moment `json:"line"`
 	Trips   int      `json:"trips"` // that it can make at most
-	Held    int64    `json:"held"`  // ns of all its trips together, at most
-	Limit   int64    `json:"limit"` // its hard limit in ns; 0: its client's, which the contract does not bound
+	Held    int64    `json:"held"`  // ns of all its attempts together, at most
+	Limit   int64    `json:"limit"` // its deadline in ns; 0: its client's, which the settings does not bound
 	Refused string   `json:"refused,omitempty"`
 }
 
-// Other is a route that the job does not take.
+// Other is a route that the request does not take.
 type Other struct {
 	Route string `json:"route"`
 	Why   string `json:"why"`
 }
 
-// Moment is one step of the worst case, with its latest time after the job's coming.
+// Moment is one step of the worst case, with its latest time after the request's coming.
 type Moment struct {
 	Latest int64  `json:"latest"`
 	What   string `json:"what"`
 }
 
-// Explain tells which route the job takes at that time, why not the others, and its time line in the worst case: each
-// trip as long and each pause as long as they can be, second copies as early as they can leave.
+// Explain tells which route the request takes at that time, why not the others, and its time line in the worst case: each
+// attempt as long and each pause as long as they can be, second copies as early as they can leave.
 func (b *Book) Explain(j *Job, now int64) (e Explanation) {
 	taken := b.Find(j)
 	for i := range b.routes {
@@ -76,7 +76,7 @@
 
 // line draws the worst case.
 func (e *Explanation) line(g *Ground, c *Clause, j *Job) {
-	k, t := g.Contract, &g.Contract.Tariffs[j.Tariff]
+	k, t := g.Contract, &g.Contract.Classes[j.Tariff]
 	limit := g.limit(j.Tariff, c)
 	if e.Limit = limit; limit == 0 {
 		limit = math.MaxInt64 / 4
@@ -86,20 +86,20 @@
 	}
 	most := c.Trips
 	if most == 0 {
-		most = k.MaxTrips
+		most = k.MaxAttempts
 	}
-	// After an ending that proves nothing an at-most-once job goes no further; all others of its endings prove that it
-	// never ran, and come at once as a rule: such trips stand here as long as any.
+	// After an ending that proves nothing an at-most-once request goes no further; all others of its endings prove that it
+	// never ran, and come at once as a rule: such attempts stand here as long as any.
 	at, first := int64(0), int64(0)
 	for {
 		e.Trips++
 		say(at, "trip %d leaves", e.Trips)
 		end := at + c.Trip.longest(limit-at)
-		if k.Farewell(t) > 0 { // a late answer would earn nothing
-			end = min(end, t.ContractTime)
+		if k.RejectFor(t) > 0 { // a late answer would earn nothing
+			end = min(end, t.Target)
 		}
 		if c.Copies.Set() && !c.NoCopies && e.Trips < most {
-			if copyAt := at + c.Copies.longest(limit-at); copyAt < end && (t.Repeat != balance.Numbered || copyAt <= first+t.Window) {
+			if copyAt := at + c.Copies.longest(limit-at); copyAt < end && (t.Repeat != balance.Deduplicated || copyAt <= first+t.Window) {
 				e.Trips++
 				e.Held += end - copyAt
 				say(copyAt, "trip %d leaves as a second copy, if %.4g %% of jobs have had none", e.Trips, 100*(1-c.CopyPart))
@@ -111,8 +111,8 @@
 		}
 		say(end, "the trip is given up")
 		next := end + c.pause(e.Trips)
-		switch away := k.Farewell(t); {
-		case away > 0 && next >= t.ContractTime:
+		switch away := k.RejectFor(t); {
+		case away > 0 && next >= t.Target:
 			e.final(t, c, end, "the next would leave after the contract time, and late answers earn nothing; the client is asked away for "+text(away), say)
 			return
 		case e.Trips >= most:
@@ -124,7 +124,7 @@
 		case c.On != 0 && c.On&Of(balance.TimedOut) == 0:
 			e.final(t, c, end, "a trip that timed out is not sent again", say)
 			return
-		case t.Repeat == balance.Numbered && next > first+t.Window:
+		case t.Repeat == balance.Deduplicated && next > first+t.Window:
 			e.final(t, c, end, "repeats are discarded for "+text(t.Window)+" only", say)
 			return
 		case next >= limit:
@@ -139,16 +139,16 @@
 	say(limit, "the hard limit: the client is told so")
 }
 
-func (e *Explanation) final(t *balance.Tariff, c *Clause, at int64, why string, say func(int64, string, ...any)) {
+func (e *Explanation) final(t *balance.Class, c *Clause, at int64, why string, say func(int64, string, ...any)) {
 	e.Refused = why
-	if t.Repeat == balance.Reissuable || t.Repeat == balance.Numbered && t.Circle == balance.OfAll {
+	if t.Repeat == balance.Idempotent || t.Repeat == balance.Deduplicated && t.Scope == balance.OfAll {
 		say(at, "bounced: %s", why)
 	} else {
 		say(at, "terminated: %s", why)
 	}
 }
 
-// Change is one kind of jobs that two books treat otherwise.
+// Change is one kind of requests that two books treat otherwise.
 type Change struct {
 	Jobs   string   `json:"jobs"`
 	Before string   `json:"before"` // route, or "" for none
@@ -156,8 +156,8 @@
 	Terms  []string `json:"terms"` // what differs
 }
 
-// Diff tells which jobs the book after treats otherwise than the one before. It looks at each pair of routes, one of
-// each book, that fit some job together and win it; jobs without a route in either book count as of a route that fits
+// Diff tells which requests the book after treats otherwise than the one before. It looks at each pair of routes, one of
+// each book, that fit some request together and win it; requests without a route in either book count as of a route that fits
 // all. What differs in seasons only is told as well.
 func Diff(before, after *Book) (out []Change) {
 	olds, news := before.all(), after.all()
@@ -205,7 +205,7 @@
 	return out
 }
 
-// all are the routes, and one without a name for the jobs that take none.
+// all are the routes, and one without a name for the requests that take none.
 func (b *Book) all() (rs []*Route) {
 	for i := range b.routes {
 		rs = append(rs, &b.routes[i])
@@ -358,13 +358,13 @@
 	}
 	var s []string
 	for i, n := range EndingNames {
-		if n != "" && e&Of(balance.Ending(i)) != 0 {
+		if n != "" && e&Of(balance.Outcome(i)) != 0 {
 			s = append(s, n)
 		}
 	}
 	return strings.Join(s, "+")
 }
 
-// EndingNames are the words for endings after which a trip may be sent again, by balance.Ending; "" is no such.
+// EndingNames are the words for endings after which an attempt may be sent again, by balance.Ending; "" is no such.
 var EndingNames = [...]string{balance.Miss: "miss", balance.Full: "full", balance.Unreachable: "unreachable",
 	balance.Failed: "failed", balance.TimedOut: "timed_out", balance.Broken: "broken"}
--- a/internal/decide/terms/match.go
+++ b/internal/decide/terms/match.go
@@ -6,11 +6,11 @@
 	"strings"
 )
 
-// index finds the most specific route of a job: first the longest key, then a tariff, a group, a kind of statement, a
-// session, the client's mark. Two routes that fit one job differ in being specific, so the order is whole.
+// index finds the most specific route of a request: first the longest key, then a class, a group, a kind of statement, a
+// session, the client's mark. Two routes that fit one request differ in being specific, so the order is whole.
 //
 // Keys stand in a trie whose edges hold runs of bytes; each of its nodes that ends a key has a table of the rest. A
-// look-up costs as many steps as the job's key has bytes at most, and at each key that fits as many looks into a table
+// look-up costs as many steps as the request's key has bytes at most, and at each key that fits as many looks into a table
 // as there are kinds of routes (shapes) with that key.
 type index struct {
 	nodes  []trieNode
@@ -152,7 +152,7 @@
 	}
 }
 
-// find is the route of the job, or below 0.
+// find is the route of the request, or below 0.
 func (x *index) find(j *Job) int32 {
 	at, key := int32(0), j.Key
 	for {
@@ -189,7 +189,7 @@
 	return key[0]
 }
 
-// precedes tells whether of two matches that fit one job the first is taken.
+// precedes tells whether of two matches that fit one request the first is taken.
 func (m *Match) precedes(o *Match) bool {
 	if len(m.Key) != len(o.Key) {
 		return len(m.Key) > len(o.Key)
--- a/internal/decide/terms/prove.go
+++ b/internal/decide/terms/prove.go
@@ -9,7 +9,7 @@
 	"sedgestream/balance"
 )
 
-// Prove tells all that is wrong with a draft against the contract and the rules, each with its place; none, and it may
+// Prove tells all that is wrong with a draft against the settings and the rules, each with its place; none, and it may
 // be compiled.
 func Prove(d *Draft, g *Ground) (faults []Fault) {
 	p := &proof{ground: g, draft: d}
@@ -66,10 +66,10 @@
 	}
 }
 
-// tariffs are those that the route's jobs can have.
+// classes are those that the route's requests can have.
 func (p *proof) tariffs(m *Match) (ts []int) {
-	for t := range p.ground.Contract.Tariffs {
-		write := p.ground.Contract.Tariffs[t].Need == balance.Write
+	for t := range p.ground.Contract.Classes {
+		write := p.ground.Contract.Classes[t].Need == balance.Write
 		if (m.Tariff < 0 || m.Tariff == t) && m.Write.fits(write) {
 			ts = append(ts, t)
 		}
@@ -132,12 +132,12 @@
 	p.limit(c, "copies/after", &c.Copies)
 	copies := c.Copies.Set()
 	switch {
-	case c.Trips > k.MaxTrips:
-		p.fault(c.at("trips"), "the contract allows a job %d trips at most", k.MaxTrips)
+	case c.Trips > k.MaxAttempts:
+		p.fault(c.at("trips"), "the contract allows a job %d trips at most", k.MaxAttempts)
 	case copies && c.Trips == 1:
 		p.fault(c.at("copies"), "a second copy is a second trip, and trips allows one only")
 	}
-	if copies && !k.SecondTrips {
+	if copies && !k.SecondAttempts {
 		p.fault(c.at("copies"), "the contract allows no second copies")
 	}
 	if c.Cap > 0 && c.Cap < c.Base {
@@ -153,7 +153,7 @@
 	}
 	for _, t := range tariffs {
 		if p.tariff(c, t) {
-			break // one tariff is enough to tell
+			break // one class is enough to tell
 		}
 	}
 }
@@ -165,10 +165,10 @@
 	}
 }
 
-// tariff looks at the clause for jobs of one tariff and tells whether anything is wrong.
+// class looks at the clause for requests of one class and tells whether anything is wrong.
 func (p *proof) tariff(c *Clause, t int) bool {
 	before, k, name := len(p.faults), p.ground.Contract, p.ground.Tariffs[t]
-	kind := &k.Tariffs[t]
+	kind := &k.Classes[t]
 	wait := int64(0)
 	if t < len(p.ground.Waits) {
 		wait = p.ground.Waits[t]
@@ -191,7 +191,7 @@
 	if c.Copies.Set() && kind.Repeat == balance.AtMostOnce {
 		p.fault(c.at("copies"), "a second copy of a job of tariff %s, which must not run twice", name)
 	}
-	if c.Within && !c.InZone && kind.Repeat == balance.Numbered && kind.Circle == balance.OfZone {
+	if c.Within && !c.InZone && kind.Repeat == balance.Deduplicated && kind.Scope == balance.OfZone {
 		p.fault(c.at("again/within"), "repeats of tariff %s are discarded within one zone only", name)
 	}
 	p.times(c, t, limit)
@@ -207,9 +207,9 @@
 	}
 }
 
-// times looks at the worst case's time line: whether the trips promised find time, and a numbered job its window.
+// times looks at the worst case's time line: whether the attempts promised find time, and a deduplicated request its window.
 func (p *proof) times(c *Clause, t int, limit int64) {
-	kind := &p.ground.Contract.Tariffs[t]
+	kind := &p.ground.Contract.Classes[t]
 	if limit == 0 || c.Trips < 2 && c.Base == 0 {
 		return
 	}
@@ -228,7 +228,7 @@
 			return
 		}
 		// Without a time-out the endings that prove nothing may come at any time; the module looks at the window then.
-		if kind.Repeat == balance.Numbered && (c.On == 0 || c.On&MayHaveRun != 0) && c.Trip.Set() && at > kind.Window {
+		if kind.Repeat == balance.Deduplicated && (c.On == 0 || c.On&MayHaveRun != 0) && c.Trip.Set() && at > kind.Window {
 			p.fault(c.at("trips"), "trip %d could leave %s after the first, and repeats of tariff %s are discarded for %s only",
 				n+1, text(at), p.ground.Tariffs[t], text(kind.Window))
 			return
@@ -236,7 +236,7 @@
 	}
 }
 
-// pause is the longest pause after so many trips.
+// pause is the longest pause after so many attempts.
 func (c *Clause) pause(trips int) int64 {
 	pause := c.Base
 	for ; trips > 1 && (c.Cap == 0 || pause < c.Cap) && pause < math.MaxInt64/4; trips-- {
@@ -248,9 +248,9 @@
 	return pause
 }
 
-// hidden finds routes that no job takes, since others fit all that they fit and come first. A job that fits fewest
-// others is one of exactly the route's key, of a group that no route names, for each tariff and each of the two
-// answers to the rest; if none of these takes the route, no job does.
+// hidden finds routes that no request takes, since others fit all that they fit and come first. A request that fits fewest
+// others is one of exactly the route's key, of a group that no route names, for each class and each of the two
+// answers to the rest; if none of these takes the route, no request does.
 func (p *proof) hidden() {
 	b := Compile(p.draft, p.ground)
 	free := b.freeKeys()
@@ -268,7 +268,7 @@
 	}
 }
 
-// witnesses shows jobs that fit the match and as few others as there can be, until one will do.
+// witnesses shows requests that fit the match and as few others as there can be, until one will do.
 func (p *proof) witnesses(m *Match, freeGroup int64, freeKeys []string, will func(*Job) bool) bool {
 	keys := freeKeys
 	if m.Key != "" {
@@ -280,7 +280,7 @@
 	}
 	for _, t := range p.tariffs(m) {
 		for mask := range 4 {
-			j := Job{Tariff: t, Group: group, Write: p.ground.Contract.Tariffs[t].Need == balance.Write,
+			j := Job{Tariff: t, Group: group, Write: p.ground.Contract.Classes[t].Need == balance.Write,
 				Session: mask&1 != 0, Again: mask&2 != 0}
 			if !m.Session.fits(j.Session) || !m.Again.fits(j.Again) {
 				continue
--- a/internal/decide/terms/sketch.go
+++ b/internal/decide/terms/sketch.go
@@ -2,7 +2,7 @@
 
 import "math/bits"
 
-// sketch keeps the times of a route's latest trips in so little room that thousands of routes can have one: counts in
+// sketch keeps the times of a route's latest attempts in so little room that thousands of routes can have one: counts in
 // buckets whose width grows with the time, an eighth of it at most. Every half of its memory the counts are halved, so
 // that times of long ago fade: of n later ones at least half of the weight is theirs once n is memory.
 type sketch struct {
--- a/internal/decide/terms/terms.go
+++ b/internal/decide/terms/terms.go
@@ -1,9 +1,9 @@
-// Package terms decides what the jobs of a route may ask of the router, within what the contract allows: how long a
-// trip may take, how often and after what pause a job goes again, when it may have a second copy, how many may be in
-// hand, and how long a bounced client may be asked to stay away.
+// Package terms decides what the requests of a route may ask of the router, within what the settings allow: how long a
+// attempt may take, how often and after what pause a request goes again, when it may have a second copy, how many may be in
+// hand, and how long a rejected client may be asked to stay away.
 //
 // It does no I/O and reads no clock. A Draft, read from an operator's file, is proved against a Ground and becomes a
-// Book; a Book finds the Route of a job, and the Route gives balance.Terms at the job's coming, counts its trips, and
+// Book; a Book finds the Route of a request, and the Route gives balance.Terms at the request's coming, counts its attempts, and
 // learns from their times. A Book never changes; what its routes have learnt outlives it (Inherit). Calls on routes
 // are not safe for concurrent use, Find is.
 package terms
@@ -14,14 +14,14 @@
 	"sedgestream/balance"
 )
 
-// Bounds on what a file may hold, so that a book's size and the work of a job stay bounded.
+// Bounds on what a file may hold, so that a book's size and the work of a request stay bounded.
 const (
 	MostRoutes  = 20_000
 	MostSeasons = 64
 	MostKey     = 64 // bytes of a key's prefix
 )
 
-// Which says whether a job has to have something, must not, or may.
+// Which says whether a request has to have something, must not, or may.
 type Which uint8
 
 // The answers.
@@ -33,7 +33,7 @@
 
 func (w Which) fits(has bool) bool { return w == Either || (w == Yes) == has }
 
-// Job is what a route may be chosen by.
+// Request is what a route may be chosen by.
 type Job struct {
 	Tariff  int
 	Group   int64 // as its client names it
@@ -43,21 +43,21 @@
 	Again   bool   // its client says that it asks once more
 }
 
-// Match says which jobs a route is for. The zero value of each member but Tariff and Group is any.
+// Match says which requests a route is for. The zero value of each member but Class and Group is any.
 type Match struct {
 	Tariff   int // below 0: any
 	Group    int64
 	AnyGroup bool
 	Write    Which
-	Key      string // which the job's begins with
+	Key      string // which the request's begins with
 	Session  Which
 	Again    Which
 }
 
-// Fits tells whether the job is one of those.
+// Fits tells whether the request is one of those.
 func (m *Match) Fits(j *Job) bool { return m.whyNot(j) == "" }
 
-// whyNot is the first member of the match that the job does not meet, or "".
+// whyNot is the first member of the match that the request does not meet, or "".
 func (m *Match) whyNot(j *Job) string {
 	switch {
 	case len(j.Key) < len(m.Key) || j.Key[:len(m.Key)] != m.Key:
@@ -76,7 +76,7 @@
 	return ""
 }
 
-// Limit is a time: fixed, a share of what is left of the hard limit, or a quantile of the route's own times between a
+// Limit is a time: fixed, a share of what is left of the deadline, or a quantile of the route's own times between a
 // floor and a ceiling. The zero value sets none.
 type Limit struct {
 	Fixed          int64
@@ -109,31 +109,31 @@
 	return l.Fixed
 }
 
-// Endings is a set of trips' endings, a bit each.
+// Endings is a set of attempts' endings, a bit each.
 type Endings uint16
 
 // Of is the set of one.
-func Of(e balance.Ending) Endings { return 1 << e }
+func Of(e balance.Outcome) Endings { return 1 << e }
 
-// MayHaveRun are the endings after which a job may have run.
+// MayHaveRun are the endings after which a request may have run.
 const MayHaveRun = Endings(1<<balance.Failed | 1<<balance.TimedOut | 1<<balance.Broken)
 
 // Clause is one set of terms. Zero members set nothing. Times are in nanoseconds.
 type Clause struct {
 	HardLimit  int64 // the client's own time, if that is shorter
-	Trip       Limit // of each trip
+	Trip       Limit // of each attempt
 	Trips      int   // at most, copies included
 	On         Endings
-	Base, Cap  int64   // pause before a further trip: doubled each time up to Cap
+	Base, Cap  int64   // pause before a further attempt: doubled each time up to Cap
 	Jitter     float64 // the random part of a pause
-	InZone     bool    // further trips stay in the zone of the first that may have run
+	InZone     bool    // further attempts stay in the zone of the first that may have run
 	Within     bool    // how far they may go is given
 	Copies     Limit   // after which a second copy may go
 	NoCopies   bool
-	CopyPart   float64 // of jobs that may have one
-	Budget     float64 // further trips for first ones, over Window; 0: as many as there are
+	CopyPart   float64 // of requests that may have one
+	Budget     float64 // further attempts for first ones, over Window; 0: as many as there are
 	Window     int64
-	BudgetLeft int // further trips that a quiet route has over Window all the same
+	BudgetLeft int // further attempts that a quiet route has over Window all the same
 	InHand     int
 	AwayLeast  int64
 	AwayMost   int64
@@ -171,9 +171,9 @@
 
 // Ground is what a draft is proved against.
 type Ground struct {
-	Contract *balance.Contract
+	Contract *balance.Settings
 	Tariffs  []string       // names, by index
-	Waits    []int64        // for so long the clients of each tariff wait at most; 0: not said
+	Waits    []int64        // for so long the clients of each class wait at most; 0: not said
 	Groups   map[int64]bool // nil: not known
 	Between  func()         // called now and then in long work, so that others have their turn; may be nil
 }
@@ -185,7 +185,7 @@
 	}
 }
 
-// limit is the longest time that a job of the tariff can have under the clause; 0: not known.
+// limit is the longest time that a request of the class can have under the clause; 0: not known.
 func (g *Ground) limit(t int, c *Clause) int64 {
 	w := int64(0)
 	if t < len(g.Waits) {
--- a/internal/decide/terms/terms_test.go
+++ b/internal/decide/terms/terms_test.go
@@ -25,12 +25,12 @@
 	os.Exit(m.Run())
 }
 
-// ground has a tariff of each kind.
+// ground has a class of each kind.
 func ground() *Ground {
-	return &Ground{Contract: &balance.Contract{MaxTrips: 4, SecondTrips: true, SessionsCarried: true, ConnectTimeout: 50 * ms,
-		LongestAbsence: 1000 * ms, Tariffs: []balance.Tariff{{ContractTime: 300 * ms},
-			{Need: balance.Write, Repeat: balance.Numbered, Window: 1200 * ms, ContractTime: 400 * ms},
-			{Need: balance.Write, Repeat: balance.AtMostOnce, ContractTime: 400 * ms}}},
+	return &Ground{Contract: &balance.Settings{MaxAttempts: 4, SecondAttempts: true, SessionsCarried: true, ConnectTimeout: 50 * ms,
+		LongestAbsence: 1000 * ms, Classes: []balance.Class{{Target: 300 * ms},
+			{Need: balance.Write, Repeat: balance.Deduplicated, Window: 1200 * ms, Target: 400 * ms},
+			{Need: balance.Write, Repeat: balance.AtMostOnce, Target: 400 * ms}}},
 		Tariffs: []string{"view", "order", "once"}, Waits: []int64{1000 * ms, 2000 * ms, 2000 * ms}}
 }
 
@@ -60,7 +60,7 @@
 	return d, Compile(d, ground())
 }
 
-// plain is the route of a job by going through all of them.
+// plain is the route of a request by going through all of them.
 func plain(b *Book, j *Job) (best *Route) {
 	for i := range b.routes {
 		if r := &b.routes[i]; r.Match.Fits(j) && (best == nil || r.Match.precedes(&best.Match)) {
@@ -70,7 +70,7 @@
 	return best
 }
 
-// every job that could tell these routes apart.
+// every request that could tell these routes apart.
 func every(tell func(*Job)) {
 	keys := []string{"c"}
 	for from := 0; from < len(keys) && len(keys[from]) < 5; from++ {
@@ -80,7 +80,7 @@
 			keys = append(keys, k+"a", k+"b")
 		}
 	}
-	for t, kind := range ground().Contract.Tariffs {
+	for t, kind := range ground().Contract.Classes {
 		for g := range int64(4) {
 			for mask := range 4 {
 				for _, k := range keys {
@@ -91,7 +91,7 @@
 	}
 }
 
-// The index, the search for hidden routes and the comparison of books agree with going through all routes and all jobs.
+// The index, the search for hidden routes and the comparison of books agree with going through all routes and all requests.
 func TestMatching(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d, b := drawBook(t)
@@ -141,7 +141,7 @@
 	})
 }
 
-// Wherever the window lies, further trips stay within their share or the floor, and copies within their part.
+// Wherever the window lies, further attempts stay within their share or the floor, and copies within their part.
 func TestBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const span = 800 * ms
@@ -218,7 +218,7 @@
 	}
 }
 
-// A route whose times jump tenfold: its trips are ended at first, and its time-out follows within 128 jobs at the
+// A route whose times jump tenfold: its attempts are ended at first, and its time-out follows within 128 requests at the
 // 99th of a hundred, whatever it had learnt before; so does the time after which a copy leaves, while copies stay within
 // their part.
 func TestTimesJump(t *testing.T) {
@@ -235,27 +235,27 @@
 		if took > s.Terms.CopyAfter && s.Grant(0, true) {
 			copies++
 		}
-		if took > s.Terms.TripTime {
-			s.Ended(balance.TimedOut, s.Terms.TripTime)
+		if took > s.Terms.AttemptTime {
+			s.Ended(balance.TimedOut, s.Terms.AttemptTime)
 		} else {
-			s.Ended(balance.Done, took)
+			s.Ended(balance.Succeeded, took)
 		}
 		said := s.Terms
 		s.Leave()
 		return said
 	}
-	if first := job(60 * ms); first.TripTime != 5000*ms || first.CopyAfter != 5000*ms {
+	if first := job(60 * ms); first.AttemptTime != 5000*ms || first.CopyAfter != 5000*ms {
 		t.Errorf("before anything is learnt: %+v", first)
 	}
 	for range 5000 {
 		job(60 * ms)
 	}
-	if was := job(60 * ms); was.TripTime > 120*ms || was.CopyAfter > 110*ms {
+	if was := job(60 * ms); was.AttemptTime > 120*ms || was.CopyAfter > 110*ms {
 		t.Fatalf("learnt %+v", was)
 	}
 	followed := 0
 	for n := 1; n <= 128; n++ {
-		if job(600*ms).TripTime < 850*ms {
+		if job(600*ms).AttemptTime < 850*ms {
 			followed = n
 		}
 	}
@@ -343,7 +343,7 @@
 	}
 }
 
-// What a route has learnt goes on under its name, a job in hand keeps its terms, and old books are let go of: memory
+// What a route has learnt goes on under its name, a request in hand keeps its terms, and old books are let go of: memory
 // stands still over 10,000 books.
 func TestInherit(t *testing.T) {
 	draft := func(n int) *Draft {
@@ -358,7 +358,7 @@
 	held := b.routes[3].Enter(0, 5000*ms)
 	for range 100 {
 		s := b.routes[3].Enter(0, 5000*ms)
-		s.Ended(balance.Done, 70*ms)
+		s.Ended(balance.Succeeded, 70*ms)
 		s.Leave()
 	}
 	heap := func() uint64 {
@@ -379,7 +379,7 @@
 		t.Errorf("memory went from %d to %d bytes", before, after)
 	}
 	s := b.Find(&Job{Group: 3}).Enter(0, 60_000*ms)
-	if s.Wait != 10_001*ms || s.Terms.TripTime > 80*ms || held.Wait != 1*ms || held.clause.HardLimit != 1*ms {
+	if s.Wait != 10_001*ms || s.Terms.AttemptTime > 80*ms || held.Wait != 1*ms || held.clause.HardLimit != 1*ms {
 		t.Errorf("new %+v, held %+v", s, held)
 	}
 	s.Leave()
@@ -396,7 +396,7 @@
 		s := b.Find(&j).Enter(5, 1000*ms)
 		s.Sent(5)
 		s.Grant(5, true)
-		s.Ended(balance.Done, ms)
+		s.Ended(balance.Succeeded, ms)
 		s.Leave()
 	}); n > 0 {
 		t.Fatalf("%v allocations a job", n)
--- a/internal/list/list.go
+++ b/internal/discovery/discovery.go
@@ -1,6 +1,6 @@
 // Package list asks discovery for the list of nodes: the whole of it, and a watch on its changes, over
 // HTTP/1.1. When to ask is told to it.
-package list
+package discovery
 
 import (
 	"bufio"
@@ -19,8 +19,8 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/desk"
-	"sedgestream/internal/field"
+	"sedgestream/internal/dispatch"
+	"sedgestream/internal/jsonfield"
 	"sedgestream/internal/ring"
 )
 
@@ -29,110 +29,110 @@
 // silent watch misses counts as told 6 s later: that leaves time for two more calls, one of which may hang as well. Where lists
 // are pushed, what discovery has counts as told at its return: a call without an answer is not waited for alone then.
 const (
-	path    = "/discovery/hosts"
-	beat    = 2 * time.Second
-	silence = beat + beat/2
-	atOnce  = beat / 2
+	path              = "/discovery/hosts"
+	heartbeatInterval = 2 * time.Second
+	silenceTimeout    = heartbeatInterval + heartbeatInterval/2
+	headTimeout       = heartbeatInterval / 2
 
-	// Told is after how long a change counts as told, whether or not it was heard.
-	Told = 3 * beat
+	// ToldAfter is after how long a change counts as told, whether or not it was heard.
+	ToldAfter = 3 * heartbeatInterval
 )
 
-// mostHeader is what the head of an answer may hold.
-const mostHeader = 16 << 10
+// maxHeaderBytes is what the head of an answer may hold.
+const maxHeaderBytes = 16 << 10
 
-// List is one answer's entries.
-type List struct {
+// Snapshot is one answer's entries.
+type Snapshot struct {
 	Version int64
-	Whole   bool
-	Rows    []desk.Row
+	Full    bool
+	Servers []dispatch.Server
 }
 
 // Read reads a list in discovery's form. Nothing of a wrong one is kept.
-func Read(v *fastjson.Value) (l List, err error) {
-	defer field.Catch(&err)
-	l.Version, l.Whole = field.Whole(v, "version", true), field.Flag(v, "full")
-	for _, e := range field.Array(v, "servers", true) {
-		started := field.Whole(e, "started_ms", false)
+func Read(v *fastjson.Value) (l Snapshot, err error) {
+	defer jsonfield.Catch(&err)
+	l.Version, l.Full = jsonfield.Whole(v, "version", true), jsonfield.Flag(v, "full")
+	for _, e := range jsonfield.Array(v, "servers", true) {
+		started := jsonfield.Whole(e, "started_ms", false)
 		if started < 0 || started > math.MaxInt64/int64(time.Millisecond) {
-			field.Fail("started_ms is no time")
+			jsonfield.Fail("started_ms is no time")
 		}
-		w := desk.Row{ID: field.Str(e, "id", true), Address: field.Str(e, "addr", false),
-			Zone: field.Str(e, "zone", false), Group: field.Whole(e, "cell", false),
-			Weight: field.Number(e, "weight", 1), Started: started * int64(time.Millisecond),
-			Primary: field.Str(e, "rank", false) == "source"}
-		switch state := field.Str(e, "state", true); state {
+		w := dispatch.Server{ID: jsonfield.Str(e, "id", true), Address: jsonfield.Str(e, "addr", false),
+			Zone: jsonfield.Str(e, "zone", false), Group: jsonfield.Whole(e, "cell", false),
+			Weight: jsonfield.Number(e, "weight", 1), Started: started * int64(time.Millisecond),
+			Primary: jsonfield.Str(e, "rank", false) == "source"}
+		switch state := jsonfield.Str(e, "state", true); state {
 		case "up":
 		case "draining":
 			w.Standing = balance.Draining
 		case "removed":
 			w.Standing = balance.Gone
 		default:
-			field.Fail("state %q is none of up, draining, removed", state)
+			jsonfield.Fail("state %q is none of up, draining, removed", state)
 		}
 		if w.ID == "" || w.Weight < 0 || w.Address == "" && w.Standing != balance.Gone {
-			field.Fail("an entry lacks its id, its address or its weight")
+			jsonfield.Fail("an entry lacks its id, its address or its weight")
 		}
-		l.Rows = append(l.Rows, w)
+		l.Servers = append(l.Servers, w)
 	}
 	return l, nil
 }
 
-// Lister asks discovery, at one address at a time.
-type Lister struct {
+// Client asks discovery, at one address at a time.
+type Client struct {
 	// Nanoseconds for a connection to come up, and after which the module is told that a call is not answered; 0: not before
 	// its end, where calls are no matter of course.
-	connect, hesitates atomic.Int64
-	desk               *desk.Desk
-	log                *zap.Logger
+	connectTimeout, hesitateAfter atomic.Int64
+	dispatcher                    *dispatch.Dispatcher
+	log                           *zap.Logger
 
 	mu    sync.Mutex
-	at    *place                // nil once closed
+	at    *endpoint             // nil once closed
 	calls map[net.Conn]struct{} // that are under way
 	tasks sync.WaitGroup        // of its own
 }
 
-// place is one address of discovery, until it moves. Versions are counted by each on its own.
-type place struct {
-	address string
-	version int64
-	strange bool     // it has not told the whole list yet, or told something wrong since
-	asking  bool     // for the whole list, beside the watch
-	doubts  int      // how often something wrong has come
-	watch   net.Conn // the one that stands, if any
+// endpoint is one address of discovery, until it moves. Versions are counted by each on its own.
+type endpoint struct {
+	address   string
+	version   int64
+	stale     bool     // it has not told the whole list yet, or told something wrong since
+	asking    bool     // for the whole list, beside the watch
+	malformed int      // how often something wrong has come
+	watch     net.Conn // the one that stands, if any
 }
 
 // New tells the list that the router had before it started.
-func New(address string, known List, c *balance.Contract, d *desk.Desk, log *zap.Logger) *Lister {
-	d.List(known.Version, true, known.Rows)
-	l := &Lister{desk: d, log: log, at: &place{address: address, version: known.Version}, calls: map[net.Conn]struct{}{}}
-	l.Heed(c)
+func New(address string, known Snapshot, c *balance.Settings, d *dispatch.Dispatcher, log *zap.Logger) *Client {
+	d.List(known.Version, true, known.Servers)
+	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{}}
+	l.Configure(c)
 	return l
 }
 
-// Heed has calls keep to a contract from now on.
-func (l *Lister) Heed(c *balance.Contract) {
-	l.connect.Store(c.ConnectTimeout)
+// Apply has calls keep to settings from now on.
+func (l *Client) Configure(c *balance.Settings) {
+	l.connectTimeout.Store(c.ConnectTimeout)
 	hesitates := int64(0)
 	if c.ListPushed {
-		hesitates = max(int64(atOnce)/8, min(int64(atOnce), c.DrainGrace)/4) // so that few are under way at a time
+		hesitates = max(int64(headTimeout)/8, min(int64(headTimeout), c.DrainGrace)/4) // so that few are under way at a time
 	}
-	l.hesitates.Store(hesitates)
+	l.hesitateAfter.Store(hesitates)
 }
 
 // Move has the list asked for at another address from now on. What is still on the way from the old one is dropped.
-func (l *Lister) Move(address string) {
+func (l *Client) Move(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.at == nil || l.at.address == address {
 		return
 	}
-	l.at = &place{address: address, strange: true}
+	l.at = &endpoint{address: address, stale: true}
 	l.endCalls()
-	l.desk.ListMoved()
+	l.dispatcher.ListMoved()
 }
 
-func (l *Lister) endCalls() {
+func (l *Client) endCalls() {
 	for sock := range l.calls {
 		sock.Close()
 	}
@@ -140,14 +140,14 @@
 
 // Watch follows the changes until the watch ends, and tells the module then. A discovery that has just become the one
 // to ask tells the whole list first: it may count its versions otherwise than the one before.
-func (l *Lister) Watch() {
+func (l *Client) Watch() {
 	l.mu.Lock()
 	at := l.at
 	if at == nil || at.watch != nil {
 		l.mu.Unlock()
 		return
 	}
-	strange := at.strange
+	strange := at.stale
 	l.mu.Unlock()
 	// Guards against calls that are never answered, as discovery was down when they came: another is made beside them, and
 	// whichever is answered first becomes the watch. Each try has the module told once until it is that.
@@ -155,7 +155,7 @@
 	err, failed := io.EOF, func(words string, err error) { told.Do(func() { l.failed(at, words, err) }) }
 	late := func() { failed("discovery does not answer at once", nil) }
 	if strange {
-		err = l.follow(at, path, late)
+		err = l.fetch(at, path, late)
 	}
 	if err == io.EOF {
 		l.mu.Lock()
@@ -163,13 +163,13 @@
 		l.mu.Unlock()
 		var c *call
 		if c, err = l.call(at, target, late); err == nil {
-			if !l.stands(at, c.sock) {
-				l.over(c.sock)
+			if !l.claimWatch(at, c.sock) {
+				l.closeCall(c.sock)
 				return // another was sooner
 			}
-			err = l.lists(at, c, true)
-			l.falls(at)
-			l.over(c.sock)
+			err = l.consume(at, c, true)
+			l.releaseWatch(at)
+			l.closeCall(c.sock)
 			l.failed(at, "the watch on the list ended", err)
 			return
 		}
@@ -177,8 +177,8 @@
 	failed("the watch on the list ended", err)
 }
 
-// stands has a connection be the watch, unless there is one.
-func (l *Lister) stands(at *place, sock net.Conn) bool {
+// claimWatch has a connection be the watch, unless there is one.
+func (l *Client) claimWatch(at *endpoint, sock net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if at.watch == nil {
@@ -187,33 +187,33 @@
 	return at.watch == sock
 }
 
-func (l *Lister) falls(at *place) {
+func (l *Client) releaseWatch(at *endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	at.watch = nil
 }
 
 // Lookup asks once for the whole list.
-func (l *Lister) Lookup() {
+func (l *Client) Lookup() {
 	l.mu.Lock()
 	at := l.at
 	l.mu.Unlock()
 	if at == nil {
 		return
 	}
-	if err := l.follow(at, path, nil); err != nil && err != io.EOF {
+	if err := l.fetch(at, path, nil); err != nil && err != io.EOF {
 		l.failed(at, "asking for the list failed", err)
 	}
 }
 
-// doubt has the whole list asked for at once, since a wrong one may have held what nobody tells again. The watch goes on
+// refetch has the whole list asked for at once, since a wrong one may have held what nobody tells again. The watch goes on
 // beside that. One that was asked for before the last wrong one came, or that the watch has overtaken by changes, is asked for
 // once more. If the whole list does not come, the watch ends, and begins by it when it is opened anew.
-func (l *Lister) doubt(at *place) {
+func (l *Client) refetch(at *endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	at.doubts++
-	if at.strange = true; l.at != at || at.asking {
+	at.malformed++
+	if at.stale = true; l.at != at || at.asking {
 		return
 	}
 	at.asking = true
@@ -223,10 +223,10 @@
 		err := io.EOF
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for doubts, version := -1, int64(-1); err == io.EOF && l.at == at && (doubts != at.doubts || at.strange && version < at.version); {
-			doubts, version = at.doubts, at.version
+		for doubts, version := -1, int64(-1); err == io.EOF && l.at == at && (doubts != at.malformed || at.stale && version < at.version); {
+			doubts, version = at.malformed, at.version
 			l.mu.Unlock()
-			err = l.follow(at, path, nil)
+			err = l.fetch(at, path, nil)
 			l.mu.Lock()
 		}
 		if at.asking = false; l.at == at && err != io.EOF {
@@ -239,17 +239,17 @@
 }
 
 // failed tells the module, unless nobody asks there any more.
-func (l *Lister) failed(at *place, words string, err error) {
+func (l *Client) failed(at *endpoint, words string, err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.at == at {
 		l.log.Warn(words, zap.Error(err))
-		l.desk.ListFailed()
+		l.dispatcher.ListFailed()
 	}
 }
 
 // Close ends the watch, and whatever else is being asked.
-func (l *Lister) Close() {
+func (l *Client) Close() {
 	l.mu.Lock()
 	l.at = nil
 	l.endCalls()
@@ -257,8 +257,8 @@
 	l.tasks.Wait()
 }
 
-// counts tells whether the list is still asked for there; the call is then among those that Close and Move end.
-func (l *Lister) counts(at *place, sock net.Conn) bool {
+// register tells whether the list is still asked for there; the call is then among those that Close and Move end.
+func (l *Client) register(at *endpoint, sock net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.at == at {
@@ -267,22 +267,22 @@
 	return l.at == at
 }
 
-func (l *Lister) over(sock net.Conn) {
+func (l *Client) closeCall(sock net.Conn) {
 	sock.Close()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, sock)
 }
 
-// follow asks for the whole list once. It gives io.EOF once that has come whole; late is told of a call that is not answered
+// fetch asks for the whole list once. It gives io.EOF once that has come whole; late is told of a call that is not answered
 // at once, if anybody wants to know.
-func (l *Lister) follow(at *place, target string, late func()) error {
+func (l *Client) fetch(at *endpoint, target string, late func()) error {
 	c, err := l.call(at, target, late)
 	if err != nil {
 		return err
 	}
-	defer l.over(c.sock)
-	return l.lists(at, c, false)
+	defer l.closeCall(c.sock)
+	return l.consume(at, c, false)
 }
 
 // call is one whose answer has begun.
@@ -293,29 +293,29 @@
 }
 
 // call sends one request and reads the head of its answer.
-func (l *Lister) call(at *place, target string, late func()) (c *call, err error) {
-	if after := time.Duration(l.hesitates.Load()); late != nil && after > 0 {
+func (l *Client) call(at *endpoint, target string, late func()) (c *call, err error) {
+	if after := time.Duration(l.hesitateAfter.Load()); late != nil && after > 0 {
 		defer time.AfterFunc(after, late).Stop()
 	}
-	sock, err := net.DialTimeout("tcp", at.address, time.Duration(l.connect.Load()))
+	sock, err := net.DialTimeout("tcp", at.address, time.Duration(l.connectTimeout.Load()))
 	if err != nil {
 		return nil, err
 	}
 	defer func() {
 		if err != nil {
-			l.over(sock)
+			l.closeCall(sock)
 		}
 	}()
-	if !l.counts(at, sock) {
+	if !l.register(at, sock) {
 		return nil, net.ErrClosed
 	}
 	out := ring.New(ring.First, ring.First, nil)
 	fmt.Fprintf(out, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, at.address)
-	sock.SetWriteDeadline(time.Now().Add(time.Duration(l.connect.Load())))
+	sock.SetWriteDeadline(time.Now().Add(time.Duration(l.connectTimeout.Load())))
 	if err = out.Flush(sock); err != nil {
 		return nil, err
 	}
-	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: time.Now().Add(atOnce)}
+	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: time.Now().Add(headTimeout)}
 	body, err := answer(bufio.NewReader(in))
 	if err != nil {
 		return nil, err
@@ -323,10 +323,10 @@
 	return &call{sock, in, body}, nil
 }
 
-// lists takes in each list of an answer, and gives io.EOF once that is whole.
-func (l *Lister) lists(at *place, c *call, watch bool) error {
-	lists := &lists{r: bufio.NewReaderSize(c.body, ring.First)}
-	lists.begins = func() { c.in.until = time.Now().Add(silence) }
+// consume takes in each list of an answer, and gives io.EOF once that is whole.
+func (l *Client) consume(at *endpoint, c *call, watch bool) error {
+	lists := &splitter{r: bufio.NewReaderSize(c.body, ring.First)}
+	lists.begins = func() { c.in.until = time.Now().Add(silenceTimeout) }
 	lists.ends = func() { c.in.until = time.Time{} }
 	if lists.ends(); !watch {
 		lists.begins() // the only one, which comes at once
@@ -335,15 +335,15 @@
 		text, err := lists.next()
 		switch {
 		case err == nil && len(text) > 0:
-			err = l.list(at, text, lists.at)
+			err = l.apply(at, text, lists.at)
 		case err == nil && watch && !stands: // nothing has changed, and what failed before is over
 			stands = true
-			l.stood(at)
+			l.unchanged(at)
 		}
-		if wrong := (*wrongList)(nil); errors.As(err, &wrong) {
+		if wrong := (*malformedError)(nil); errors.As(err, &wrong) {
 			l.log.Warn("a line from discovery is wrong", zap.String("at", at.address), zap.Int64("byte", wrong.at), zap.Error(err))
 			if watch {
-				l.doubt(at)
+				l.refetch(at)
 				continue
 			}
 		}
@@ -363,7 +363,7 @@
 
 func (s *source) Read(p []byte) (int, error) {
 	if s.ring.Len() == 0 {
-		until := time.Now().Add(silence)
+		until := time.Now().Add(silenceTimeout)
 		if !s.until.IsZero() && s.until.Before(until) {
 			until = s.until
 		}
@@ -375,33 +375,33 @@
 	return s.ring.Read(p)
 }
 
-// list takes in one list, which ends so many bytes into the answer's body. Of a wrong one nothing is taken, and the last
+// apply takes in one list, which ends so many bytes into the answer's body. Of a wrong one nothing is taken, and the last
 // list stands.
-func (l *Lister) list(at *place, text []byte, upTo int64) error {
+func (l *Client) apply(at *endpoint, text []byte, upTo int64) error {
 	list, err := parse(text)
 	if err != nil {
-		return &wrongList{upTo, err}
+		return &malformedError{upTo, err}
 	}
-	l.take(at, list)
+	l.deliver(at, list)
 	return nil
 }
 
-// stood takes in that a watch brings empty lines: a list in which nothing has changed.
-func (l *Lister) stood(at *place) {
+// unchanged takes in that a watch brings empty lines: a list in which nothing has changed.
+func (l *Client) unchanged(at *endpoint) {
 	l.mu.Lock()
 	version := at.version
 	l.mu.Unlock()
-	l.take(at, List{Version: version})
+	l.deliver(at, Snapshot{Version: version})
 }
 
-func (l *Lister) take(at *place, list List) {
+func (l *Client) deliver(at *endpoint, list Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if list.Version < at.version || l.at != at { // of a call overtaken by the watch, or from where nobody asks any more
 		return
 	}
-	at.version, at.strange = list.Version, at.strange && !list.Whole
-	l.desk.List(list.Version, list.Whole, list.Rows)
+	at.version, at.stale = list.Version, at.stale && !list.Full
+	l.dispatcher.List(list.Version, list.Full, list.Servers)
 }
 
 // answer reads the head of an HTTP answer and gives its body.
@@ -426,7 +426,7 @@
 		if h == "" {
 			break
 		}
-		if held += len(h); held > mostHeader {
+		if held += len(h); held > maxHeaderBytes {
 			return nil, errors.New("list: the answer's head is too long")
 		}
 		name, value, ok := strings.Cut(h, ":")
--- a/internal/list/list_test.go
+++ b/internal/discovery/discovery_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -16,10 +16,10 @@
 
 func TestRead(t *testing.T) {
 	l, err := Read(fastjson.MustParse(`{"version":41,"full":true,"servers":[` + entry + `]}`))
-	if err != nil || l.Version != 41 || !l.Whole || len(l.Rows) != 1 {
+	if err != nil || l.Version != 41 || !l.Full || len(l.Servers) != 1 {
 		t.Fatalf("%+v, %v", l, err)
 	}
-	if w := l.Rows[0]; w.ID != "s-1" || w.Address != "127.0.0.1:1" || w.Zone != "a" || w.Group != 3 || w.Weight != 1.5 ||
+	if w := l.Servers[0]; w.ID != "s-1" || w.Address != "127.0.0.1:1" || w.Zone != "a" || w.Group != 3 || w.Weight != 1.5 ||
 		w.Standing != balance.Draining || w.Started != 1767225600123e6 {
 		t.Errorf("%+v", w)
 	}
@@ -43,8 +43,8 @@
 		{head + "no header\r\n\r\n", "", "malformed header"},
 		{head + "Content-Length: -1\r\n\r\n", "", "Content-Length"},
 		{head + "Transfer-Encoding: gzip\r\n\r\n", "", "gzip"},
-		{head + "X: " + strings.Repeat("x", mostHeader) + "\r\n\r\n", "", "too long"},
-		{head + strings.Repeat("X: y\r\n", mostHeader), "", "too long"},
+		{head + "X: " + strings.Repeat("x", maxHeaderBytes) + "\r\n\r\n", "", "too long"},
+		{head + strings.Repeat("X: y\r\n", maxHeaderBytes), "", "too long"},
 		{"HTTP/1.1 200", "", "EOF"},
 		{head + "Transfer-Encoding: chunked\r\n\r\nzz\r\n", "", "malformed chunk"},
 		{head + "Transfer-Encoding: chunked\r\n\r\n3\r\nabcd\r\n", "abc", "malformed chunk"},
@@ -77,7 +77,7 @@
 		}
 		if v, err := fastjson.ParseBytes(b); err == nil {
 			l, err := Read(v)
-			for _, w := range l.Rows {
+			for _, w := range l.Servers {
 				if err == nil && (w.ID == "" || w.Weight < 0 || w.Started < 0) {
 					t.Errorf("%q was taken as %+v", b, w)
 				}
--- a/internal/list/moments_test.go
+++ b/internal/discovery/moments_test.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -15,8 +15,8 @@
 	"go.uber.org/zap/zaptest/observer"
 
 	"sedgestream/balance"
-	"sedgestream/internal/contract"
-	"sedgestream/internal/desk"
+	"sedgestream/internal/dispatch"
+	"sedgestream/internal/settings"
 )
 
 // reach notes the nodes that the list names.
@@ -56,23 +56,23 @@
 		{"a wrong list", strings.Replace(one, `"up"`, `"asleep"`, 1) + "\n" + two + "\n", "wrong 9 EOF"},
 		{"no list", "[1]\n7\n" + one + "\n", "wrong 8 EOF"},
 		{"cut off", one + "\n" + two[:30], "8 unexpected EOF"},
-		{"unending", one + "\n{\"version\":[" + strings.Repeat("[1],", mostList/4), "8 list: one is longer than 1048576 bytes"},
-		{"unending string", `{"` + strings.Repeat("v", 2*mostList), "list: one is longer than 1048576 bytes"},
+		{"unending", one + "\n{\"version\":[" + strings.Repeat("[1],", maxSnapshotBytes/4), "8 list: one is longer than 1048576 bytes"},
+		{"unending string", `{"` + strings.Repeat("v", 2*maxSnapshotBytes), "list: one is longer than 1048576 bytes"},
 	} {
 		for _, cut := range []func(io.Reader) io.Reader{func(r io.Reader) io.Reader { return r }, iotest.OneByteReader, iotest.HalfReader} {
-			s := &lists{r: bufio.NewReader(cut(strings.NewReader(c.stream))), begins: func() {}, ends: func() {}}
+			s := &splitter{r: bufio.NewReader(cut(strings.NewReader(c.stream))), begins: func() {}, ends: func() {}}
 			var got []string
 			for end := false; !end; {
 				text, err := s.next()
 				if err == nil && len(text) > 0 {
-					var l List
+					var l Snapshot
 					if l, err = parse(text); err == nil {
 						got = append(got, fmt.Sprint(l.Version))
 						continue
 					}
-					err = &wrongList{s.at, err}
+					err = &malformedError{s.at, err}
 				}
-				var wrong *wrongList
+				var wrong *malformedError
 				switch {
 				case errors.As(err, &wrong):
 					got = append(got, "wrong")
@@ -85,7 +85,7 @@
 			if strings.Join(got, " ") != c.want {
 				t.Errorf("%s: %q, want %q", c.name, strings.Join(got, " "), c.want)
 			}
-			if cap(s.text) > 2*mostList {
+			if cap(s.text) > 2*maxSnapshotBytes {
 				t.Errorf("%s: %d bytes are kept", c.name, cap(s.text))
 			}
 		}
@@ -142,12 +142,12 @@
 	return sock
 }
 
-func newLister(t *testing.T, at string) (*Lister, *desk.Desk, reach, *observer.ObservedLogs) {
+func newLister(t *testing.T, at string) (*Client, *dispatch.Dispatcher, reach, *observer.ObservedLogs) {
 	core, logs := observer.New(zap.WarnLevel)
 	nodes := reach{}
-	d := desk.Open(&contract.Contract{Contract: balance.Contract{ListOnAsking: true, AskEvery: int64(time.Second),
-		Tariffs: []balance.Tariff{{ContractTime: int64(time.Second / 10), Earnings: 1}}}}, 1, nodes, zap.NewNop())
-	l := New(at, List{Version: 7}, &balance.Contract{ConnectTimeout: int64(time.Second)}, d, zap.New(core))
+	d := dispatch.Open(&settings.Settings{Settings: balance.Settings{ListOnAsking: true, AskEvery: int64(time.Second),
+		Classes: []balance.Class{{Target: int64(time.Second / 10), Worth: 1}}}}, 1, nodes, zap.NewNop())
+	l := New(at, Snapshot{Version: 7}, &balance.Settings{ConnectTimeout: int64(time.Second)}, d, zap.New(core))
 	t.Cleanup(l.Close)
 	return l, d, nodes, logs
 }
@@ -185,7 +185,7 @@
 		l, _, _, _ := newLister(t, d.l.Addr().String())
 		over := began(l.Watch)
 		d.call("?stream=1&index=7", streamHead+listOf(8, "up")+"\n\n")
-		ends(t, "a silent watch", over, beat, silence+room)
+		ends(t, "a silent watch", over, heartbeatInterval, silenceTimeout+room)
 	})
 	t.Run("list that never ends", func(t *testing.T) {
 		t.Parallel()
@@ -199,7 +199,7 @@
 				io.WriteString(sock, "\n")
 			}
 		}()
-		ends(t, "a watch whose list never ends", over, beat, silence+room)
+		ends(t, "a watch whose list never ends", over, heartbeatInterval, silenceTimeout+room)
 	})
 	t.Run("head", func(t *testing.T) {
 		t.Parallel()
@@ -207,7 +207,7 @@
 		l, _, _, _ := newLister(t, d.l.Addr().String())
 		over := began(l.Watch)
 		d.call("?stream=1&index=7", "HTTP/1.1 ")
-		ends(t, "a call whose head never comes", over, 0, atOnce+room)
+		ends(t, "a call whose head never comes", over, 0, headTimeout+room)
 	})
 	t.Run("one that stands", func(t *testing.T) {
 		t.Parallel()
@@ -216,11 +216,11 @@
 		over := began(l.Watch)
 		sock := d.call("?stream=1&index=7", streamHead)
 		for range 3 {
-			time.Sleep(beat + beat/4)
+			time.Sleep(heartbeatInterval + heartbeatInterval/4)
 			io.WriteString(sock, "\n")
 		}
 		sock.Close()
-		ends(t, "a watch whose lines come a little late", over, 3*beat, 3*(beat+beat/4)+room)
+		ends(t, "a watch whose lines come a little late", over, 3*heartbeatInterval, 3*(heartbeatInterval+heartbeatInterval/4)+room)
 	})
 }
 
@@ -234,7 +234,7 @@
 		more int
 		want error
 	}{{listOf(8, "up"), 0, io.EOF}, {listOf(9, "up"), 1, io.ErrUnexpectedEOF}, {listOf(9, "up")[:40], 40, io.ErrUnexpectedEOF}} {
-		go func() { got <- l.follow(l.at, path, nil) }()
+		go func() { got <- l.fetch(l.at, path, nil) }()
 		d.call("", fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(c.body)+c.more, c.body)).Close()
 		if err := <-got; err != c.want {
 			t.Errorf("%d bytes less than said: %v, want %v", c.more, err, c.want)
@@ -243,7 +243,7 @@
 	if len(nodes) != 1 {
 		t.Errorf("the nodes are %v", nodes)
 	}
-	asked := func(d *desk.Desk) bool { // once more, soon
+	asked := func(d *dispatch.Dispatcher) bool { // once more, soon
 		for end := time.Now().Add(2 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
 			if d.Collect().Watch {
 				return true
@@ -251,10 +251,10 @@
 		}
 		return false
 	}
-	l.desk.Collect()
+	l.dispatcher.Collect()
 	go func() { l.Lookup(); got <- nil }()
 	d.call("", "HTTP/1.1 200 OK\r\nContent-Length: 400\r\n\r\n"+listOf(10, "up")[:50]).Close()
-	if <-got; !asked(l.desk) {
+	if <-got; !asked(l.dispatcher) {
 		t.Error("nobody asks again after a torn answer")
 	}
 }
@@ -306,7 +306,7 @@
 		begun := time.Now()
 		end()
 		<-over
-		if took := time.Since(begun); took > atOnce/2 {
+		if took := time.Since(begun); took > headTimeout/2 {
 			t.Errorf("it took %v", took)
 		}
 	}
@@ -321,13 +321,13 @@
 	}
 }
 
-// pushed has a lister keep to a contract where discovery is this machine's own.
-func (l *Lister) pushed() {
-	l.Heed(&balance.Contract{ConnectTimeout: int64(time.Second), ListPushed: true, DrainGrace: int64(time.Second)})
+// pushed has a lister keep to settings where discovery is this machine's own.
+func (l *Client) pushed() {
+	l.Configure(&balance.Settings{ConnectTimeout: int64(time.Second), ListPushed: true, DrainGrace: int64(time.Second)})
 }
 
 // asks tells within how long the module has the list asked for once more; below 0: not within the time given.
-func asks(d *desk.Desk, most time.Duration) time.Duration {
+func asks(d *dispatch.Dispatcher, most time.Duration) time.Duration {
 	for begun := time.Now(); time.Since(begun) < most; time.Sleep(time.Millisecond) {
 		if d.Collect().Watch {
 			return time.Since(begun)
@@ -349,18 +349,18 @@
 		for i := range 2 {
 			overs = append(overs, began(l.Watch))
 			socks = append(socks, d.call("?stream=1&index=7", ""))
-			if took := asks(desk, atOnce); i == 0 && (took < 0 || took > 3*atOnce/4) {
+			if took := asks(desk, headTimeout); i == 0 && (took < 0 || took > 3*headTimeout/4) {
 				t.Fatalf("another call is asked for after %v", took)
 			}
 		}
 		io.WriteString(socks[sooner], streamHead+listOf(8, "up")+"\n")
 		until(t, "the list", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(nodes) == 1 })
 		io.WriteString(socks[1-sooner], streamHead)
-		ends(t, "the other call", overs[1-sooner], 0, atOnce)
-		if took := began(l.Watch); <-took > atOnce/2 {
+		ends(t, "the other call", overs[1-sooner], 0, headTimeout)
+		if took := began(l.Watch); <-took > headTimeout/2 {
 			t.Error("a watch is opened beside the one that stands")
 		}
-		for end := time.Now().Add(silence + beat); time.Now().Before(end); time.Sleep(beat / 2) {
+		for end := time.Now().Add(silenceTimeout + heartbeatInterval); time.Now().Before(end); time.Sleep(heartbeatInterval / 2) {
 			io.WriteString(socks[sooner], "\n")
 		}
 		select {
@@ -384,10 +384,10 @@
 	asks(desk, time.Second)
 	over := began(l.Watch)
 	d.call("?stream=1&index=7", "")
-	if took := asks(desk, atOnce*3/4); took >= 0 {
+	if took := asks(desk, headTimeout*3/4); took >= 0 {
 		t.Errorf("another call after %v", took)
 	}
-	ends(t, "the call", over, 0, 2*atOnce)
+	ends(t, "the call", over, 0, 2*headTimeout)
 }
 
 // Where the whole list does not come after a wrong one, the watch is ended, and what it may have missed is asked for anew.
@@ -398,7 +398,7 @@
 	over := began(l.Watch)
 	d.call("?stream=1&index=7", streamHead+"nonsense\n")
 	d.call("", "HTTP/1.1 503 no\r\n\r\n").Close()
-	ends(t, "the watch", over, 0, beat/2)
+	ends(t, "the watch", over, 0, heartbeatInterval/2)
 	if asks(desk, 2*time.Second) < 0 {
 		t.Fatal("nobody asks again")
 	}
@@ -420,7 +420,7 @@
 		watch := d.call("?stream=1&index=7", streamHead+"nonsense\n")
 		whole := d.call("", "") // as of then
 		io.WriteString(watch, behind+"\n")
-		until(t, "what is behind it", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(nodes) == 1 || l.at.doubts > 1 })
+		until(t, "what is behind it", func() bool { l.mu.Lock(); defer l.mu.Unlock(); return len(nodes) == 1 || l.at.malformed > 1 })
 		io.WriteString(whole, streamHead+named("s-2", 8))
 		whole.Close()
 		d.call("", streamHead+named("s-4", 9)).Close()
--- a/internal/list/lists.go
+++ b/internal/discovery/splitter.go
@@ -1,4 +1,4 @@
-package list
+package discovery
 
 import (
 	"bufio"
@@ -9,13 +9,13 @@
 	"github.com/valyala/fastjson"
 )
 
-// mostList is what one list may hold, in bytes.
-const mostList = 1 << 20
+// maxSnapshotBytes is what one list may hold, in bytes.
+const maxSnapshotBytes = 1 << 20
 
-// lists splits what discovery sends into lists: JSON objects, each on a line of its own or spread over several, and empty
+// splitter splits what discovery sends into lists: JSON objects, each on a line of its own or spread over several, and empty
 // lines between them. Guards against lists that come indented, and against a list that is torn off: it costs none of those
 // behind it, as long as they begin at the start of a line.
-type lists struct {
+type splitter struct {
 	r            *bufio.Reader
 	begins, ends func() // told when a list begins, and when it has been read or given up
 
@@ -32,27 +32,27 @@
 	saved  []byte // the next one, while the torn one is told of
 }
 
-// wrongList is something that is no list; what stands behind it is read all the same.
-type wrongList struct {
+// malformedError is something that is no list; what stands behind it is read all the same.
+type malformedError struct {
 	at  int64 // bytes into the answer's body at which it was seen
 	err error
 }
 
-func (w *wrongList) Error() string { return w.err.Error() }
-func (w *wrongList) Unwrap() error { return w.err }
+func (w *malformedError) Error() string { return w.err.Error() }
+func (w *malformedError) Unwrap() error { return w.err }
 
 var (
 	errInString = errors.New("a line ends inside a string")
 	errTorn     = errors.New("a list was torn off by the next one")
 	errStray    = errors.New("a line is neither empty nor begins a list")
-	errTooLong  = fmt.Errorf("list: one is longer than %d bytes", mostList)
+	errTooLong  = fmt.Errorf("list: one is longer than %d bytes", maxSnapshotBytes)
 )
 
 // parse reads a list's text.
-func parse(text []byte) (List, error) {
+func parse(text []byte) (Snapshot, error) {
 	v, err := fastjson.ParseBytes(text)
 	if err != nil {
-		return List{}, err
+		return Snapshot{}, err
 	}
 	return Read(v)
 }
@@ -60,7 +60,7 @@
 // next is the text of the next list, or nothing for an empty line between two. Its error is a wrongList, behind which it goes
 // on, or that of the stream; a list that the stream's end cuts off is io.ErrUnexpectedEOF. The text is valid until the next
 // call.
-func (s *lists) next() (text []byte, err error) {
+func (s *splitter) next() (text []byte, err error) {
 	if s.saved != nil {
 		text, s.saved = s.saved, nil
 		return text, nil
@@ -94,7 +94,7 @@
 		case len(s.text) == 0:
 			s.skips, s.again = false, 0
 			s.begins()
-		case len(s.text) == mostList:
+		case len(s.text) == maxSnapshotBytes:
 			return nil, errTooLong
 		}
 		if s.text = append(s.text, b); s.take(b) {
@@ -114,7 +114,7 @@
 }
 
 // take takes in a byte of a list, and tells whether it is the last.
-func (s *lists) take(b byte) bool {
+func (s *splitter) take(b byte) bool {
 	switch {
 	case s.escape:
 		s.escape = false
@@ -133,8 +133,8 @@
 	return s.depth == 0
 }
 
-func (s *lists) wrong(err error) error {
+func (s *splitter) wrong(err error) error {
 	s.depth, s.quoted, s.escape, s.skips = 0, false, false, true
 	s.ends()
-	return &wrongList{s.at, err}
+	return &malformedError{s.at, err}
 }
