--- a/internal/desk/desk_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -1,4 +1,4 @@
-package desk
+package dispatch
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/contract"
 	"sedgestream/internal/decide/terms"
+	"sedgestream/internal/settings"
 )
 
 type nowhere struct{}
@@ -17,20 +17,20 @@
 func (nowhere) Reach(int, string, string) {}
 func (nowhere) Drop(int)                  {}
 
-// What comes late from a job that is over never reaches the next job at its place, and each job gets its orders
+// What comes late from a request that is over never reaches the next request at its place, and each request gets its orders
 // only.
 func TestPlaceIsReused(t *testing.T) {
-	c := &balance.Contract{Tick: 1e6, MaxTrips: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Tariffs: []balance.Tariff{
-		{Need: balance.Write, Repeat: balance.AtMostOnce, ContractTime: 1e9, Earnings: 1}}}
-	d := Open(&contract.Contract{Contract: *c}, 1, nowhere{}, zap.NewNop())
-	d.List(0, true, []Row{{ID: "a", Weight: 1, Group: 7, Primary: true}})
+	c := &balance.Settings{Tick: 1e6, MaxAttempts: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Classes: []balance.Class{
+		{Need: balance.Write, Repeat: balance.AtMostOnce, Target: 1e9, Worth: 1}}}
+	d := Open(&settings.Settings{Settings: *c}, 1, nowhere{}, zap.NewNop())
+	d.List(0, true, []Server{{ID: "a", Weight: 1, Group: 7, Primary: true}})
 	g, ok := d.Group(7)
 	if _, other := d.Group(8); !ok || other {
 		t.Fatal("groups", ok, other)
 	}
 	take := func(said *string) *Ticket {
-		return d.Take(Task{Send: func(leg, node int, until int64) { *said += "sent " },
-			Bounce: func(int64) { *said += "bounced " }, Terminate: func() { *said += "terminated " }}, Ask{Group: g, Wait: 1e9})
+		return d.Accept(Handlers{Send: func(leg, node int, until int64) { *said += "sent " },
+			Reject: func(int64) { *said += "bounced " }, Fail: func() { *said += "terminated " }}, Arrival{Group: g, Wait: 1e9})
 	}
 	var first, second string
 	a := take(&first)
@@ -43,21 +43,21 @@
 	}
 	a.Left()
 	a.Work()
-	if !b.Ended(0, balance.Done, 1, balance.Note{Role: balance.Primary}, balance.Report{}) {
+	if !b.Ended(0, balance.Succeeded, 1, balance.Note{Role: balance.Primary}, balance.Report{}) {
 		t.Error("the second job's answer is not for its client")
 	}
 	b.Work()
 	if first != "sent terminated " || second != "sent " {
 		t.Errorf("first %q, second %q", first, second)
 	}
-	if b.Ended(0, balance.Done, 1, balance.Note{}, balance.Report{}) {
+	if b.Ended(0, balance.Succeeded, 1, balance.Note{}, balance.Report{}) {
 		t.Error("a second answer")
 	}
 }
 
 // A panic of the module in the alarm does not end the program.
 func TestWakeFails(t *testing.T) {
-	d := Open(&contract.Contract{Contract: balance.Contract{Tariffs: []balance.Tariff{{ContractTime: 1e9}}}}, 1, nowhere{}, zap.NewNop())
+	d := Open(&settings.Settings{Settings: balance.Settings{Classes: []balance.Class{{Target: 1e9}}}}, 1, nowhere{}, zap.NewNop())
 	router := d.router
 	d.mu.Lock()
 	d.router = nil
@@ -69,22 +69,22 @@
 	d.wake()
 }
 
-// Nodes that come and go under ever new names leave nothing behind, and one that a job has been to keeps its number
-// until the job is over.
+// Nodes that come and go under ever new names leave nothing behind, and one that a request has been to keeps its number
+// until the request is over.
 func TestNodesComeAndGo(t *testing.T) {
-	c := &balance.Contract{Tick: 1e6, MaxTrips: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Tariffs: []balance.Tariff{
-		{Need: balance.Write, Repeat: balance.AtMostOnce, ContractTime: 1e9, Earnings: 1}}}
-	d := Open(&contract.Contract{Contract: *c}, 1, nowhere{}, zap.NewNop())
-	row := func(i int, s balance.Standing) Row {
-		return Row{ID: fmt.Sprint("n", i), Weight: 1, Group: 7, Primary: true, Standing: s}
+	c := &balance.Settings{Tick: 1e6, MaxAttempts: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Classes: []balance.Class{
+		{Need: balance.Write, Repeat: balance.AtMostOnce, Target: 1e9, Worth: 1}}}
+	d := Open(&settings.Settings{Settings: *c}, 1, nowhere{}, zap.NewNop())
+	row := func(i int, s balance.Standing) Server {
+		return Server{ID: fmt.Sprint("n", i), Weight: 1, Group: 7, Primary: true, Standing: s}
 	}
-	d.List(0, true, []Row{row(0, balance.In)})
+	d.List(0, true, []Server{row(0, balance.In)})
 	g, _ := d.Group(7)
 	sent := -1
-	job := d.Take(Task{Send: func(leg, node int, until int64) { sent = node }, Terminate: func() {}}, Ask{Group: g, Wait: 1e9})
-	(<-job.box)()
+	job := d.Accept(Handlers{Send: func(leg, node int, until int64) { sent = node }, Fail: func() {}}, Arrival{Group: g, Wait: 1e9})
+	(<-job.mailbox)()
 	for i := range 1000 {
-		d.List(0, i%2 == 0, []Row{row(i+1, balance.In), row(i, balance.Gone)})
+		d.List(0, i%2 == 0, []Server{row(i+1, balance.In), row(i, balance.Gone)})
 		time.Sleep(time.Microsecond) // no grace is left to any by the next word
 		if d.names[sent] != "n0" {
 			t.Fatal("the number of a node with a trip out names another")
@@ -96,19 +96,19 @@
 		t.Errorf("%d names, %d numbers", len(d.ids), len(d.names))
 	}
 	var said string
-	(<-d.Take(Task{Send: func(leg, node int, until int64) { said = d.names[node] }}, Ask{Group: g, Wait: 1e9}).box)()
+	(<-d.Accept(Handlers{Send: func(leg, node int, until int64) { said = d.names[node] }}, Arrival{Group: g, Wait: 1e9}).mailbox)()
 	if said != "n1000" {
 		t.Errorf("a job went to %q", said)
 	}
 }
 
-// BenchmarkJob is what the desk and the module take for a job of one trip: without terms, and with a book of so many routes.
+// BenchmarkJob is what the dispatcher and the module take for a request of one attempt: without terms, and with a book of so many routes.
 func BenchmarkJob(b *testing.B) {
 	for _, routes := range []int{0, 1, 10_000} {
 		b.Run(fmt.Sprint(routes, " routes"), func(b *testing.B) {
-			c := &balance.Contract{Tick: 5e6, MaxTrips: 3, KeepAlive: 1e9, Tariffs: []balance.Tariff{{ContractTime: 1e9, Earnings: 1}}}
-			d := Open(&contract.Contract{Contract: *c}, 1, nowhere{}, zap.NewNop())
-			d.List(0, true, []Row{{ID: "a", Weight: 1, Group: 7, Primary: true}, {ID: "b", Weight: 1, Group: 7}})
+			c := &balance.Settings{Tick: 5e6, MaxAttempts: 3, KeepAlive: 1e9, Classes: []balance.Class{{Target: 1e9, Worth: 1}}}
+			d := Open(&settings.Settings{Settings: *c}, 1, nowhere{}, zap.NewNop())
+			d.List(0, true, []Server{{ID: "a", Weight: 1, Group: 7, Primary: true}, {ID: "b", Weight: 1, Group: 7}})
 			if routes > 0 {
 				draft := &terms.Draft{Routes: []terms.DraftRoute{{Name: "all", Match: terms.Match{Tariff: -1, AnyGroup: true},
 					Ordinary: terms.Clause{Budget: 0.5, Window: 1e10}}}}
@@ -120,8 +120,8 @@
 			key := []byte("k00777fa")
 			b.ReportAllocs()
 			for b.Loop() {
-				t := d.Take(Task{Send: func(leg, node int, until int64) {}, Bounce: func(int64) {}, Terminate: func() {}}, Ask{Wait: 1e9, GroupName: 7, Key: key})
-				t.Ended(0, balance.Done, 1e6, balance.Note{Role: balance.Replica}, balance.Report{})
+				t := d.Accept(Handlers{Send: func(leg, node int, until int64) {}, Reject: func(int64) {}, Fail: func() {}}, Arrival{Wait: 1e9, GroupName: 7, Key: key})
+				t.Ended(0, balance.Succeeded, 1e6, balance.Note{Role: balance.Replica}, balance.Report{})
 				t.Work()
 			}
 		})
@@ -130,11 +130,11 @@
 
 // What a node says of itself is told on, but for a position in the future, which nobody believes.
 func TestPositionsAhead(t *testing.T) {
-	d := Open(&contract.Contract{Contract: balance.Contract{Tick: 1e6, MaxTrips: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Probes: true,
-		Tariffs: []balance.Tariff{{ContractTime: 1e9, Earnings: 1}}}}, 1, nowhere{}, zap.NewNop())
+	d := Open(&settings.Settings{Settings: balance.Settings{Tick: 1e6, MaxAttempts: 2, ConnectTimeout: 1e9, KeepAlive: 1e9, Probes: true,
+		Classes: []balance.Class{{Target: 1e9, Worth: 1}}}}, 1, nowhere{}, zap.NewNop())
 	d.Planned()
 	d.Metered()
-	d.List(0, true, []Row{{ID: "a", Weight: 1, Group: 7}})
+	d.List(0, true, []Server{{ID: "a", Weight: 1, Group: 7}})
 	told := func(position int64) bool {
 		d.Probed(0, true, balance.Report{Given: true, Position: position, Role: balance.Replica, Held: -1})
 		parts := d.Loads()
--- a/internal/desk/loads.go
+++ b/internal/dispatch/loads.go
@@ -1,4 +1,4 @@
-package desk
+package dispatch
 
 import (
 	"hash/crc32"
@@ -7,15 +7,15 @@
 	"sedgestream/internal/decide/share"
 )
 
-// Metered has the desk keep account of its trips for those who add up what all routers have. It is called before the first list.
-func (d *Desk) Metered() {
+// Metered has the dispatcher keep account of its attempts for those who add up what all routers have. It is called before the first list.
+func (d *Dispatcher) Metered() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.meter, d.marks = share.NewMeter(d.Now()), map[uint32]int{}
 }
 
 // Loads is the account since it was last asked for.
-func (d *Desk) Loads() []share.Part {
+func (d *Dispatcher) Loads() []share.Part {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.meter == nil {
@@ -33,7 +33,7 @@
 }
 
 // Summed takes in what all routers together have at nodes; believe says of each what counts, and how old it is.
-func (d *Desk) Summed(es []share.Entry, believe func(e *share.Entry) (held float64, age int64)) {
+func (d *Dispatcher) Summed(es []share.Entry, believe func(e *share.Entry) (held float64, age int64)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.meter == nil {
@@ -59,14 +59,14 @@
 }
 
 // metered notes what a node has shown of itself, for others. A position in the future is believed by nobody, and not told.
-func (d *Desk) metered(n int, rep balance.Report) {
+func (d *Dispatcher) metered(n int, rep balance.Report) {
 	if rep.Given && rep.Position > 0 && rep.Position <= d.Now() && rep.Role != balance.Unknown {
 		d.meter.Shown(d.Now(), n, share.Shown{Position: rep.Position, Primary: rep.Role == balance.Primary, Busy: float32(max(0, rep.Busy))})
 	}
 }
 
 // mark has a node be found by its mark; one that two share names none of them.
-func (d *Desk) mark(id string, n int) {
+func (d *Dispatcher) mark(id string, n int) {
 	if d.meter == nil {
 		return
 	}
@@ -78,7 +78,7 @@
 }
 
 // unmeter lets go of a node whose number may name another.
-func (d *Desk) unmeter(n int, id string) {
+func (d *Dispatcher) unmeter(n int, id string) {
 	if d.meter == nil {
 		return
 	}
--- a/internal/desk/planned.go
+++ b/internal/dispatch/planned.go
@@ -1,4 +1,4 @@
-package desk
+package dispatch
 
 import (
 	"hash/crc32"
@@ -6,28 +6,28 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/contract"
 	"sedgestream/internal/decide/plan"
+	"sedgestream/internal/settings"
 )
 
-// Planned has the desk heed planners beside the list. It is called before the first list.
-func (d *Desk) Planned() {
+// Planned has the dispatcher follow planners beside the list. It is called before the first list.
+func (d *Dispatcher) Planned() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.board, d.rows = plan.NewBoard(), map[string]Row{}
+	d.board, d.rows = plan.NewBoard(), map[string]Server{}
 }
 
 // Notices are the newest words on all nodes.
-func (d *Desk) Notices() (ns []plan.Notice) {
+func (d *Dispatcher) Notices() (ns []plan.Notice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.board.Each(func(n plan.Notice) { ns = append(ns, n) })
 	return ns
 }
 
-// Heed takes in words of planners. What they say of nodes that the own list has not named is kept until it does; only the
+// Apply takes in words of planners. What they say of nodes that the own list has not named is kept until it does; only the
 // own list brings a node back.
-func (d *Desk) Heed(ns []plan.Notice) {
+func (d *Dispatcher) ApplyNotices(ns []plan.Notice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
@@ -44,7 +44,7 @@
 		d.rows[n.Node] = w
 		d.log.Info("a planner's word", zap.String("node", n.Node), zap.Uint64("version", n.Version), zap.Uint8("standing", uint8(n.Standing)))
 		d.router.Listing(false)
-		d.router.Member(now, k, contract.Index(d.groups, w.Group), contract.Index(d.zones, w.Zone), crc32.ChecksumIEEE([]byte(w.ID)),
+		d.router.Member(now, k, settings.Index(d.groups, w.Group), settings.Index(d.zones, w.Zone), crc32.ChecksumIEEE([]byte(w.ID)),
 			w.Standing, w.Weight, w.Started, w.Primary)
 		d.router.Listed(now)
 	}
@@ -55,11 +55,11 @@
 	Node        string
 	Group       int64
 	Share, Want int64
-	Least       int64 // of a job
+	Least       int64 // of a request
 }
 
 // Young are all of them.
-func (d *Desk) Young() (ys []Young) {
+func (d *Dispatcher) Young() (ys []Young) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
@@ -74,9 +74,9 @@
 	return ys
 }
 
-// Lend tells what a young node may be sent at most, in microseconds of work: until a moment of the desk's clock, and which
+// Lend tells what a young node may be sent at most, in microseconds of work: until a moment of the dispatcher's clock, and which
 // part of the own share after that until another.
-func (d *Desk) Lend(node string, work int64, part float64, until, kept int64) {
+func (d *Dispatcher) Lend(node string, work int64, part float64, until, kept int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n, known := d.ids[node]; known {
@@ -84,12 +84,12 @@
 	}
 }
 
-// Shun has a replica left alone until a moment of the desk's clock.
-func (d *Desk) Shun(node string, until int64) {
+// Eject has a replica left alone until a moment of the dispatcher's clock.
+func (d *Dispatcher) Eject(node string, until int64) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n, known := d.ids[node]; known {
-		d.router.Shun(d.Now(), n, until)
+		d.router.Eject(d.Now(), n, until)
 	}
 }
 
@@ -101,7 +101,7 @@
 }
 
 // Sights are of all nodes that are in the list; answers count for as long as given.
-func (d *Desk) Sights(span int64) (ss []Sight) {
+func (d *Dispatcher) Sights(span int64) (ss []Sight) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	now := d.Now()
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -1,4 +1,4 @@
-// Package forward has a router heed planners: it tells them what it sees, pledges its shares of young nodes and uses what it
+// Package forward has a router follow planners: it tells them what it sees, pledges its shares of young nodes and uses what it
 // is lent, as internal/decide/plan decides. The router goes on by itself whenever they are silent.
 package forward
 
@@ -18,8 +18,8 @@
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/plan"
 	"sedgestream/internal/decide/share"
-	"sedgestream/internal/desk"
-	"sedgestream/internal/words"
+	"sedgestream/internal/dispatch"
+	"sedgestream/internal/message"
 )
 
 // Post is what a forwarder is told of planners.
@@ -30,18 +30,18 @@
 	Period   time.Duration     // of reports
 	// Holds is what this router may do by what it knows of the others; nil if it takes no part in the membership.
 	Holds func() members.Holds
-	// Loads has it tell planners of its trips, and go by what they add up.
+	// Loads has it tell planners of its attempts, and go by what they add up.
 	Loads bool
-	// Tell tells some other routers of this one's trips while no planner hears it, and Routers are how many there are that may be
+	// Tell tells some other routers of this one's attempts while no planner hears it, and Routers are how many there are that may be
 	// sending; nil without membership.
-	Tell    func(l *words.Loads, to int)
+	Tell    func(l *message.Loads, to int)
 	Routers func() int
 }
 
 // Links are a router's connections to planners.
 type Links struct {
 	post  Post
-	desk  *desk.Desk
+	desk  *dispatch.Dispatcher
 	log   *zap.Logger
 	life  plan.Life
 	born  int64
@@ -58,17 +58,17 @@
 
 // link is a connection to a planner.
 type link struct {
-	*words.Conn
+	*message.Conn
 	live  []string // planners that it believes in
 	heard int64
 
 	said   int64  // when it was last reported to
-	loaded bool   // of any trips
+	loaded bool   // of any attempts
 	news   uint64 // hash of what the report said but for asks
 }
 
-// New has the desk heed planners. It is called before the desk's first list.
-func New(p Post, d *desk.Desk, log *zap.Logger) *Links {
+// New has the dispatcher follow planners. It is called before the dispatcher's first list.
+func New(p Post, d *dispatch.Dispatcher, log *zap.Logger) *Links {
 	d.Planned()
 	var views *share.Views
 	if p.Loads {
@@ -101,13 +101,13 @@
 	}
 }
 
-// Close ends all, and says that this router has left: it has no trip out any more.
+// Close ends all, and says that this router has left: it has no attempt out any more.
 func (s *Links) Close() {
 	close(s.stop)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, l := range s.links {
-		l.Bye(errors.New(words.Left))
+		l.Bye(errors.New(message.Left))
 	}
 }
 
@@ -139,9 +139,9 @@
 	if err != nil {
 		return err
 	}
-	l := &link{Conn: words.On(sock), heard: s.desk.Now()}
+	l := &link{Conn: message.On(sock), heard: s.desk.Now()}
 	defer sock.Close()
-	if err := l.Write(&words.Word{Hello: &words.Hello{Version: words.Version, Kind: words.Forwarder, Name: s.post.Name, Life: s.life}}, s.post.Term); err != nil {
+	if err := l.Write(&message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Forwarder, Name: s.post.Name, Life: s.life}}, s.post.Term); err != nil {
 		return err
 	}
 	w, err := l.Read(s.post.Term)
@@ -178,8 +178,8 @@
 }
 
 // answer takes in a planner's word.
-func (s *Links) answer(name string, l *link, a *words.Answer) {
-	s.desk.Heed(a.Notices)
+func (s *Links) answer(name string, l *link, a *message.Answer) {
+	s.desk.ApplyNotices(a.Notices)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.desk.Now()
@@ -203,7 +203,7 @@
 		return
 	}
 	for _, n := range a.Condemned { // until the next report or so; after that by new words only
-		s.desk.Shun(n, plan.Hinted(now, int64(s.post.Term), int64(s.post.Period)))
+		s.desk.Eject(n, plan.Hinted(now, int64(s.post.Term), int64(s.post.Period)))
 	}
 }
 
@@ -219,19 +219,19 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.desk.Now()
-	r := words.Report{Notices: notices}
+	r := message.Report{Notices: notices}
 	for _, v := range sights {
 		if v.Failed || v.Answered {
-			r.Saw = append(r.Saw, words.NodeSaw{Node: v.Node, Failed: v.Failed})
+			r.Saw = append(r.Saw, message.NodeSaw{Node: v.Node, Failed: v.Failed})
 		}
-		b := words.Belief{Node: v.Node, Standing: uint8(v.Standing), Use: -1, Aside: v.Failed}
+		b := message.Belief{Node: v.Node, Standing: uint8(v.Standing), Use: -1, Aside: v.Failed}
 		if h := s.holders[v.Node]; h != nil {
 			b.Planner = h.Planner()
 			b.Use, _, _ = h.Stands()
 		}
 		r.Beliefs = append(r.Beliefs, b)
 	}
-	asks := map[string][]words.NodeAsk{}
+	asks := map[string][]message.NodeAsk{}
 	holds := members.Holds{Pledge: true}
 	if s.post.Holds != nil {
 		holds = s.post.Holds()
@@ -247,12 +247,12 @@
 			s.holders[y.Node] = h
 		}
 		if owner := plan.Owner(y.Group, reached); owner != "" && holds.Pledge && h.MayAsk(now, owner) && y.Share > 0 {
-			asks[owner] = append(asks[owner], words.NodeAsk{Node: y.Node, Ask: h.Ask(now, owner, y.Share, y.Want, y.Least)})
+			asks[owner] = append(asks[owner], message.NodeAsk{Node: y.Node, Ask: h.Ask(now, owner, y.Share, y.Want, y.Least)})
 		}
 		s.lend(y.Node, h)
 	}
 	for node, h := range s.holders { // of nodes that are young no more, once nothing binds
-		if _, ends, kept := h.Stands(); now > max(ends, kept) && !slices.ContainsFunc(young, func(y desk.Young) bool { return y.Node == node }) {
+		if _, ends, kept := h.Stands(); now > max(ends, kept) && !slices.ContainsFunc(young, func(y dispatch.Young) bool { return y.Node == node }) {
 			delete(s.holders, node)
 		}
 	}
@@ -266,7 +266,7 @@
 		s.views.Forget(now)
 		s.alone(now, loads)
 	}
-	failing := slices.ContainsFunc(r.Saw, func(v words.NodeSaw) bool { return v.Failed })
+	failing := slices.ContainsFunc(r.Saw, func(v message.NodeSaw) bool { return v.Failed })
 	for name, l := range s.links {
 		if !plan.Due(now, l.said, int64(s.post.Term), l.news != news || len(loads) > 0 || l.loaded, len(asks[name]) > 0, failing) {
 			continue
@@ -277,7 +277,7 @@
 		s.tasks.Add(1)
 		go func() { // each is written within a period or its connection ends, so these don't pile up
 			defer s.tasks.Done()
-			if l.Write(&words.Word{Report: &mine}, s.post.Period) != nil {
+			if l.Write(&message.Word{Report: &mine}, s.post.Period) != nil {
 				l.Sock.Close()
 			}
 		}()
@@ -287,7 +287,7 @@
 // others names what a router adds up of others' words itself, among planners.
 const others = ""
 
-// alone has the router go by what some others say of their trips, and tell some of its own, while no planner adds up all.
+// alone has the router go by what some others say of their attempts, and tell some of its own, while no planner adds up all.
 func (s *Links) alone(now int64, loads []share.Part) {
 	if s.post.Tell == nil || !share.Alone(now, max(s.digest, s.born), int64(s.post.Term)) {
 		return
@@ -297,13 +297,13 @@
 		s.log.Info("no planner adds up the load: other routers are asked for a sample")
 	}
 	s.sample.Heard(now, uint64(s.life), loads)
-	s.post.Tell(&words.Loads{Life: uint64(s.life), Parts: loads}, share.Tells)
+	s.post.Tell(&message.Loads{Life: uint64(s.life), Parts: loads}, share.Tells)
 	es := s.sample.Digest(now, s.post.Routers())
 	s.desk.Summed(es, func(e *share.Entry) (float64, int64) { return s.views.Heard(now, others, e) })
 }
 
-// Heard takes in what another router says of its trips.
-func (s *Links) Heard(l *words.Loads) {
+// Heard takes in what another router says of its attempts.
+func (s *Links) Heard(l *message.Loads) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.sample != nil && l.Life != uint64(s.life) {
--- a/internal/intake/client.go
+++ b/internal/frontend/client.go
@@ -1,4 +1,4 @@
-package intake
+package frontend
 
 import (
 	"errors"
@@ -14,29 +14,29 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/desk"
-	"sedgestream/internal/job"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/pg"
+	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
-	"sedgestream/internal/trip"
+	"sedgestream/internal/upstream"
 )
 
 // client is a connection from a client. Its goroutine reads all the time, so that a client that goes is noticed. Queries
-// written one behind the other become jobs as they come, so that none waits for the one before to be answered; the
-// answers go out in the order of the queries, by the task of whichever job is next.
+// written one behind the other become requests as they come, so that none waits for the one before to be answered; the
+// answers go out in the order of the queries, by the task of whichever request is next.
 type client struct {
-	intake  *Intake
+	server  *Server
 	sock    net.Conn
 	in, out *ring.Ring
 	need    int // bytes that the message at the front takes, as far as known
-	held    int // bytes of a long query, kept so that they count as long as its job does
+	held    int // bytes of a long query, kept so that they count as long as its request does
 
-	mu     sync.Mutex
-	turns  []*turn // whose answers are not out yet
-	saying bool    // the first of them is being written, by the task of some job
-	left   bool    // nobody reads answers any more
+	mu      sync.Mutex
+	pending []*pendingAnswer // whose answers are not out yet
+	writing bool             // the first of them is being written, by the task of some request
+	left    bool             // nobody reads answers any more
 
-	hands     atomic.Int32  // how many turns there are
+	inFlight  atomic.Int32  // how many turns there are
 	waiting   atomic.Bool   // more has come meanwhile
 	free      chan struct{} // told when one is answered while more waits
 	idleSince atomic.Int64  // 0 while anything is in hand or half read, closing once it is to end
@@ -50,48 +50,48 @@
 	skip         bool      // until Sync, after an error in the extended protocol
 }
 
-// turn is a place in the order of a client's answers; that of a job is who the job came from.
-type turn struct {
+// pendingAnswer is a place in the order of a client's answers; that of a request is who the request came from.
+type pendingAnswer struct {
 	client *client
 	id     string
-	ticket *desk.Ticket // of its job, if any
-	parts  [][]byte     // the answer, once there is one
-	kept   int          // bytes of it that count while it waits for those before it
+	ticket *dispatch.Ticket // of its request, if any
+	parts  [][]byte         // the answer, once there is one
+	kept   int              // bytes of it that count while it waits for those before it
 }
 
-// mostTurns is how many queries of one client may be in hand; more wait in its buffer, and then outside. With half a
+// maxPipelined is how many queries of one client may be in hand; more wait in its buffer, and then outside. With half a
 // page each, and a third of the descriptors, that is a sixth of the smallest memory of the platform's page.
-const mostTurns = 32
+const maxPipelined = 32
 
-// ways is for how long a query and its answer are on their ways together, at most: a client's time runs from its sending.
-const ways = int64(10 * time.Millisecond)
+// transitAllowance is for how long a query and its answer are on their ways together, at most: a client's time runs from its sending.
+const transitAllowance = int64(10 * time.Millisecond)
 
 const closing = -1
 
-// parting is how long an end may wait for the last bytes to be acknowledged. A restart has that much to spare, as the protocol
-// page has it: whoever ends later than the last job in hand could be killed with an answer unsent.
-const parting = 200 * time.Millisecond
+// lingerTimeout is how long an end may wait for the last bytes to be acknowledged. A restart has that much to spare, as the protocol
+// page has it: whoever ends later than the last request in hand could be killed with an answer unsent.
+const lingerTimeout = 200 * time.Millisecond
 
 var (
 	errEnd  = errors.New("intake: connection ends")
 	errLast = errors.New("intake: connection ends once all is answered")
 )
 
-func (c *client) live() {
+func (c *client) serve() {
 	defer func() {
 		if p := recover(); p != nil {
-			c.intake.log.Error("a connection's task failed", zap.Any("panic", p), zap.Stack("stack"))
+			c.server.log.Error("a connection's task failed", zap.Any("panic", p), zap.Stack("stack"))
 		}
 		c.leave()
 		c.sock.Close()
 		c.in.Free()
-		c.intake.gone(c)
+		c.server.remove(c)
 	}()
 	started := false
 	for {
 		var err error
 		for more := true; more && err == nil && !c.full(); {
-			if c.hands.Load() == 0 {
+			if c.inFlight.Load() == 0 {
 				c.in.Discard(c.held)
 				c.held, c.alone = 0, false
 			}
@@ -105,14 +105,14 @@
 			err = c.read()
 		}
 		if err == errLast {
-			for n := c.hands.Load(); n > 0 && err == errLast; n = c.hands.Load() {
+			for n := c.inFlight.Load(); n > 0 && err == errLast; n = c.inFlight.Load() {
 				if gone := c.await(n); gone != nil {
 					err = gone
 				}
 			}
 		}
 		if err == errLast || err == errEnd {
-			c.part(err == errLast)
+			c.lingerClose(err == errLast)
 		}
 		if err != nil {
 			return
@@ -120,33 +120,33 @@
 	}
 }
 
-// part ends the sending where a reset could follow: a connection that ends with unread bytes sends one, and so does one that
+// lingerClose ends the sending where a reset could follow: a connection that ends with unread bytes sends one, and so does one that
 // has ended when more comes, and it takes with it whatever of the answers has not come to the client's machine. Behind a last
 // word what still comes is dropped until the client ends too; whoever needs the place ends that. As the program ends, clients
 // go on sending: what they were sent is waited for. A query that crosses the end of an idle connection is not read, so that
 // its client asks again elsewhere.
-func (c *client) part(last bool) {
+func (c *client) lingerClose(last bool) {
 	end, ok := c.sock.(interface{ CloseWrite() error })
-	if !ok || !last && !c.intake.isLeaving() || end.CloseWrite() != nil {
+	if !ok || !last && !c.server.isDraining() || end.CloseWrite() != nil {
 		return
 	}
-	if !c.intake.isLeaving() {
-		c.idle(c.intake.desk.Now())
-		c.sock.SetReadDeadline(time.Now().Add(patience))
+	if !c.server.isDraining() {
+		c.idle(c.server.dispatcher.Now())
+		c.sock.SetReadDeadline(time.Now().Add(readTimeout))
 		if c.idleSince.Load() != closing {
 			io.Copy(io.Discard, struct{ io.Reader }{c.sock})
 		}
 		return
 	}
-	for end := time.Now().Add(parting); ring.Unsent(c.sock) > 0 && time.Now().Before(end); {
-		time.Sleep(parting / 64)
+	for end := time.Now().Add(lingerTimeout); ring.Unsent(c.sock) > 0 && time.Now().Before(end); {
+		time.Sleep(lingerTimeout / 64)
 	}
 }
 
 // full tells whether what comes next has to wait for an answer.
 func (c *client) full() bool {
-	n := c.hands.Load()
-	return n >= mostTurns || c.alone && n > 0
+	n := c.inFlight.Load()
+	return n >= maxPipelined || c.alone && n > 0
 }
 
 // leave gives up the turns that are left: the client has gone, and nothing more is owed. An answer that is being written to a
@@ -155,11 +155,11 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.left = true
-	for _, t := range c.turns {
-		c.intake.budget.Give(t.kept)
+	for _, t := range c.pending {
+		c.server.budget.Give(t.kept)
 		if t.parts == nil && t.ticket != nil {
 			t.ticket.Left()
-			c.intake.unclaim(t.id)
+			c.server.unclaim(t.id)
 		}
 	}
 }
@@ -168,10 +168,10 @@
 // messages may be silent as long as it likes.
 func (c *client) read() error {
 	var until time.Time
-	hands, stalled := c.hands.Load(), c.full() && c.in.Len() > c.held
+	hands, stalled := c.inFlight.Load(), c.full() && c.in.Len() > c.held
 	busy := hands > 0
 	if !busy && c.held > 0 {
-		return nil // the job ended just now, and what it held goes back first
+		return nil // the request ended just now, and what it held goes back first
 	}
 	c.waiting.Store(c.in.Len() > c.held || c.held > ring.First) // a long query's room goes back at its end
 	switch {
@@ -183,7 +183,7 @@
 		if c.begun.IsZero() {
 			c.begun = time.Now()
 		}
-		until = c.begun.Add(patience)
+		until = c.begun.Add(readTimeout)
 		if c.late {
 			return c.refuse(pg.BadProtocol, "the message took too long")
 		}
@@ -196,19 +196,19 @@
 			c.idleSince.CompareAndSwap(at, 0)
 		}
 	default:
-		c.idle(c.intake.desk.Now())
+		c.idle(c.server.dispatcher.Now())
 	}
 	c.sock.SetReadDeadline(until)
 	// Whoever wants the connection to end says so first and wakes it then; it may have been woken too early. What has come by
 	// then is owed an answer, and is read.
-	if c.idleSince.Load() == closing || !busy && c.intake.wantsEnd(c.asked.Load() && c.in.Len() == 0) {
-		if c.intake.isOverdue() || !ring.Pending(c.sock) {
+	if c.idleSince.Load() == closing || !busy && c.server.wantsEnd(c.asked.Load() && c.in.Len() == 0) {
+		if c.server.isOverdue() || !ring.Pending(c.sock) {
 			return errEnd
 		}
-		c.sock.SetReadDeadline(time.Now().Add(patience))
+		c.sock.SetReadDeadline(time.Now().Add(readTimeout))
 	}
-	if c.hands.Load() != hands {
-		return nil // a job ended just now: its wake may have come before the deadline was set
+	if c.inFlight.Load() != hands {
+		return nil // a request ended just now: its wake may have come before the deadline was set
 	}
 	n, err := c.in.Fill(c.sock)
 	if errors.Is(err, os.ErrDeadlineExceeded) && ring.Pending(c.sock) { // what has come is looked at, late or not
@@ -220,7 +220,7 @@
 		if n == 0 {
 			return errEnd
 		}
-		c.intake.changed() // a query that has been read is served; another connection may end for this one
+		c.server.changed() // a query that has been read is served; another connection may end for this one
 	}
 	if errors.Is(err, os.ErrDeadlineExceeded) && (until.IsZero() || time.Now().Before(until)) {
 		return nil // woken, be it for what is over by now
@@ -229,7 +229,7 @@
 		return c.refuse(pg.BadProtocol, "the message took too long")
 	}
 	if !stalled { // what stands before these bytes came earlier
-		c.readAt = c.intake.desk.Now()
+		c.readAt = c.server.dispatcher.Now()
 	}
 	return err
 }
@@ -238,7 +238,7 @@
 func (c *client) await(hands int32) error {
 	c.waiting.Store(true)
 	c.sock.SetReadDeadline(time.Time{})
-	if c.hands.Load() != hands {
+	if c.inFlight.Load() != hands {
 		return nil // its wake may have come before the deadline was set
 	}
 	err := ring.AwaitEnd(c.sock)
@@ -299,10 +299,10 @@
 	switch kind {
 	case 'Q':
 		long := size > ring.First/2
-		if c.alone = long; long && c.hands.Load() > 0 {
+		if c.alone = long; long && c.inFlight.Load() > 0 {
 			return false, nil // those before it are answered first
 		}
-		if err = c.query(body); long && c.hands.Load() > 0 {
+		if err = c.query(body); long && c.inFlight.Load() > 0 {
 			c.held = size
 			return false, err
 		}
@@ -326,13 +326,13 @@
 	return true, err
 }
 
-// query makes a job of a query, or answers it at once.
+// query makes a request of a query, or answers it at once.
 func (c *client) query(body []byte) error {
 	if len(body) == 0 || body[len(body)-1] != 0 {
 		return c.refuse(pg.BadProtocol, "malformed query")
 	}
 	if !c.asked.Swap(true) {
-		c.intake.settle()
+		c.server.noteAsker()
 	}
 	begun := c.begun
 	c.begun, c.late = time.Time{}, false
@@ -347,26 +347,26 @@
 	if err != nil {
 		return c.wrong(pg.StrangeForm, err.Error())
 	}
-	deal := c.intake.desk.Deal() // one contract judges a query from here on, whatever is loaded meanwhile
-	contract := deal.Contract
-	t, ok := contract.Names[s.Tariff]
+	deal := c.server.dispatcher.Policy() // one set of settings judges a query from here on, whatever is loaded meanwhile
+	contract := deal.Settings
+	t, ok := contract.ByName[s.Tariff]
 	if !ok {
 		return c.wrong(pg.StrangeValue, "unknown class in the comment")
 	}
-	g, ok := c.intake.desk.Group(s.Group)
+	g, ok := c.server.dispatcher.Group(s.Group)
 	if !ok {
 		return c.wrong(pg.StrangeValue, "unknown cluster in the comment")
 	}
-	if terms := &contract.Tariffs[t]; terms.Repeat == balance.Numbered && !s.Marked {
+	if terms := &contract.Classes[t]; terms.Repeat == balance.Deduplicated && !s.Marked {
 		return c.wrong(pg.StrangeValue, "this class wants k in the comment")
 	}
-	if s.Write != (contract.Tariffs[t].Need == balance.Write) {
+	if s.Write != (contract.Classes[t].Need == balance.Write) {
 		return c.wrong(pg.StrangeValue, "this class wants the other kind of statement")
 	}
-	if c.intake.finishing.Load() { // nothing new is begun: its client comes again elsewhere
+	if c.server.finishing.Load() { // nothing new is begun: its client comes again elsewhere
 		return c.reply(pg.AppendReady(pg.AppendBounce(nil, "")))
 	}
-	if c.spare && !c.intake.hasRoom() {
+	if c.spare && !c.server.hasRoom() {
 		c.reply(pg.AppendCrowded(nil))
 		return errLast
 	}
@@ -375,41 +375,41 @@
 	if c.hasWaited(begun) && ring.Ended(c.sock) {
 		return io.EOF
 	}
-	if !c.intake.claim(s.ID) {
+	if !c.server.claim(s.ID) {
 		return c.wrong(pg.StrangeValue, "a query with this id is open already")
 	}
 	// No client waits for longer than the settings say: guards against times that would hold a place for days. What
-	// the query has waited here counts against its client's time, and so do the ways: a job that ends with its hard limit
+	// the query has waited here counts against its client's time, and so do the ways: a request that ends with its deadline
 	// would else be answered after its client has given up.
 	wait := s.Wait * int64(time.Millisecond)
-	if most := contract.Waits[t]; most > 0 {
+	if most := contract.Deadlines[t]; most > 0 {
 		wait = min(wait, most)
 	}
-	wait -= c.intake.desk.Now() - c.readAt
-	wait -= min(ways, wait/16)
-	turn := &turn{client: c, id: s.ID}
+	wait -= c.server.dispatcher.Now() - c.readAt
+	wait -= min(transitAllowance, wait/16)
+	turn := &pendingAnswer{client: c, id: s.ID}
 	if c.take(turn) {
-		c.intake.changed()
+		c.server.changed()
 	}
-	turn.ticket = job.Begin(c.intake.desk, desk.Ask{Deal: deal, Tariff: t, Group: g, Wait: wait,
-		After: s.After * int64(time.Millisecond), GroupName: s.Group, Key: s.Key, Write: s.Write, Again: s.Again}, turn, trip.Cargo{Nodes: c.intake.nodes, Statement: s})
+	turn.ticket = request.Begin(c.server.dispatcher, dispatch.Arrival{Policy: deal, Class: t, Group: g, Wait: wait,
+		After: s.After * int64(time.Millisecond), GroupName: s.Group, Key: s.Key, Write: s.Write, Again: s.Again}, turn, upstream.Sender{Nodes: c.server.nodes, Statement: s})
 	go turn.ticket.Work()
 	return nil
 }
 
 // hasWaited tells whether the query looked at now, which began to come then, has been here for longer than a tick.
 func (c *client) hasWaited(begun time.Time) bool {
-	tick := c.intake.desk.Deal().Contract.Tick
-	return c.intake.desk.Now()-c.readAt > tick || !begun.IsZero() && time.Since(begun) > time.Duration(tick)
+	tick := c.server.dispatcher.Policy().Settings.Tick
+	return c.server.dispatcher.Now()-c.readAt > tick || !begun.IsZero() && time.Since(begun) > time.Duration(tick)
 }
 
 // take puts a turn behind the others, and tells whether the connection was about to end.
-func (c *client) take(t *turn) (ending bool) {
+func (c *client) take(t *pendingAnswer) (ending bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	ending = c.idleSince.Swap(0) == closing
-	c.turns = append(c.turns, t)
-	c.hands.Store(int32(len(c.turns)))
+	c.pending = append(c.pending, t)
+	c.inFlight.Store(int32(len(c.pending)))
 	return ending
 }
 
@@ -417,9 +417,9 @@
 	return c.reply(pg.AppendReady(pg.AppendError(nil, "ERROR", state, words, "")))
 }
 
-// say writes to the client, which has so long to read it.
-func (c *client) say(parts ...[]byte) error {
-	c.sock.SetWriteDeadline(time.Now().Add(patience))
+// write writes to the client, which has so long to read it.
+func (c *client) write(parts ...[]byte) error {
+	c.sock.SetWriteDeadline(time.Now().Add(readTimeout))
 	for _, p := range parts {
 		if c.out.Len()+len(p) > ring.First {
 			if err := c.out.Flush(c.sock); err != nil {
@@ -435,18 +435,18 @@
 	return c.out.Flush(c.sock)
 }
 
-// sayUnlocked writes what the caller, who holds the lock, has the turn for.
-func (c *client) sayUnlocked(parts [][]byte) error {
+// writeUnlocked writes what the caller, who holds the lock, has the turn for.
+func (c *client) writeUnlocked(parts [][]byte) error {
 	c.mu.Unlock()
 	defer c.mu.Lock()
-	return c.say(parts...)
+	return c.write(parts...)
 }
 
 // idle notes that nothing is in hand since then.
 func (c *client) idle(since int64) {
 	c.idleSince.Store(since)
-	if c.intake.wanting.Load() {
-		c.intake.changed()
+	if c.server.wanting.Load() {
+		c.server.changed()
 	}
 }
 
@@ -460,50 +460,50 @@
 	return true
 }
 
-// reply answers what no job was made of, in its turn.
+// reply answers what no request was made of, in its turn.
 func (c *client) reply(parts ...[]byte) error {
 	c.mu.Lock()
-	if len(c.turns) == 0 { // then no job's task writes, nor will one before the next query is read
+	if len(c.pending) == 0 { // then no request's task writes, nor will one before the next query is read
 		c.mu.Unlock()
-		return c.say(parts...)
+		return c.write(parts...)
 	}
 	defer c.mu.Unlock()
-	c.turns = append(c.turns, &turn{client: c, parts: parts})
-	c.hands.Store(int32(len(c.turns)))
+	c.pending = append(c.pending, &pendingAnswer{client: c, parts: parts})
+	c.inFlight.Store(int32(len(c.pending)))
 	return nil
 }
 
-// answer ends a job: its id may be used anew, and its answer goes out once those before it are out. Whoever has the first of
+// answer ends a request: its id may be used anew, and its answer goes out once those before it are out. Whoever has the first of
 // them writes it, and whatever has its answer by then behind it; the lock is free meanwhile, for the client's own task.
-func (t *turn) answer(parts ...[]byte) {
+func (t *pendingAnswer) answer(parts ...[]byte) {
 	c := t.client
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if c.left || t.parts != nil {
 		return
 	}
-	c.intake.unclaim(t.id)
-	if t.parts = parts; c.saying || t != c.turns[0] {
+	c.server.unclaim(t.id)
+	if t.parts = parts; c.writing || t != c.pending[0] {
 		t.keep()
 		return
 	}
-	for c.saying = true; len(c.turns) > 0 && c.turns[0].parts != nil; {
-		next := c.turns[0]
-		if err := c.sayUnlocked(next.parts); err != nil {
+	for c.writing = true; len(c.pending) > 0 && c.pending[0].parts != nil; {
+		next := c.pending[0]
+		if err := c.writeUnlocked(next.parts); err != nil {
 			c.sock.Close()
 		}
 		if c.left {
 			return
 		}
-		c.intake.budget.Give(next.kept)
-		c.turns = slices.Delete(c.turns, 0, 1)
+		c.server.budget.Give(next.kept)
+		c.pending = slices.Delete(c.pending, 0, 1)
 	}
-	c.saying = false
-	if len(c.turns) == 0 && !c.waiting.Load() {
-		c.idle(c.intake.desk.Now())
+	c.writing = false
+	if len(c.pending) == 0 && !c.waiting.Load() {
+		c.idle(c.server.dispatcher.Now())
 	}
-	c.hands.Store(int32(len(c.turns)))
-	if c.waiting.Load() || c.intake.isLeaving() {
+	c.inFlight.Store(int32(len(c.pending)))
+	if c.waiting.Load() || c.server.isDraining() {
 		c.sock.SetReadDeadline(ring.Past)
 		select {
 		case c.free <- struct{}{}:
@@ -512,8 +512,8 @@
 	}
 }
 
-// keep counts a long answer that has to wait. One for which there is no memory is given up: its job has run.
-func (t *turn) keep() {
+// keep counts a long answer that has to wait. One for which there is no memory is given up: its request has run.
+func (t *pendingAnswer) keep() {
 	size := 0
 	for _, p := range t.parts {
 		size += len(p)
@@ -521,19 +521,19 @@
 	if size <= ring.First {
 		return
 	}
-	if t.client.intake.budget.Try(size) {
+	if t.client.server.budget.Try(size) {
 		t.kept = size
 	} else {
-		t.client.intake.log.Warn("no memory for an answer that has to wait", zap.Int("bytes", size))
+		t.client.server.log.Warn("no memory for an answer that has to wait", zap.Int("bytes", size))
 		t.parts = [][]byte{pg.AppendReady(pg.AppendTermination(nil))}
 	}
 }
 
-// Done implements job.Client.
-func (t *turn) Done(value []byte) { t.answer(value, pg.AppendReady(nil)) }
+// Succeeded implements request.Client.
+func (t *pendingAnswer) Succeeded(value []byte) { t.answer(value, pg.AppendReady(nil)) }
 
-// Bounced implements job.Client.
-func (t *turn) Bounced(stayAway int64) {
+// Rejected implements request.Client.
+func (t *pendingAnswer) Rejected(stayAway int64) {
 	detail := ""
 	if ms := (stayAway + int64(time.Millisecond) - 1) / int64(time.Millisecond); ms > 0 {
 		detail = strconv.FormatInt(ms, 10)
@@ -541,20 +541,20 @@
 	t.answer(pg.AppendReady(pg.AppendBounce(nil, detail)))
 }
 
-// Terminated implements job.Client.
-func (t *turn) Terminated() { t.answer(pg.AppendReady(pg.AppendTermination(nil))) }
+// Failed implements request.Client.
+func (t *pendingAnswer) Failed() { t.answer(pg.AppendReady(pg.AppendTermination(nil))) }
 
-// Failed implements job.Client.
-func (t *turn) Failed(p any) {
-	t.client.intake.log.Error("a job's task failed", zap.Any("panic", p), zap.Stack("stack"))
+// Panicked implements request.Client.
+func (t *pendingAnswer) Panicked(p any) {
+	t.client.server.log.Error("a job's task failed", zap.Any("panic", p), zap.Stack("stack"))
 	if t.client.answered(t) {
 		t.client.sock.Close() // it may have been cut off in the middle
 		return
 	}
-	t.Terminated()
+	t.Failed()
 }
 
-func (c *client) answered(t *turn) bool {
+func (c *client) answered(t *pendingAnswer) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return t.parts != nil
--- a/internal/intake/client_test.go
+++ b/internal/frontend/client_test.go
@@ -1,4 +1,4 @@
-package intake
+package frontend
 
 import (
 	"bytes"
@@ -8,23 +8,23 @@
 
 	"go.uber.org/zap"
 
-	"sedgestream/internal/contract"
-	"sedgestream/internal/desk"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/ring"
+	"sedgestream/internal/settings"
 )
 
-// A job that ends just before its connection is read on gives back its query's room first: the next query may
+// A request that ends just before its connection is read on gives back its query's room first: the next query may
 // be long in coming.
 func TestAnsweredBeforeRead(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	d := desk.Open(&contract.Contract{}, 1, nil, zap.NewNop())
-	c := newClient(&Intake{desk: d}, near)
+	d := dispatch.Open(&settings.Settings{}, 1, nil, zap.NewNop())
+	c := newClient(&Server{dispatcher: d}, near)
 	go io.WriteString(far, "a long query")
 	if err := c.read(); err != nil || c.in.Len() == 0 {
 		t.Fatal(err)
 	}
-	c.held = c.in.Len() // its job is in hand, and has been answered by now
+	c.held = c.in.Len() // its request is in hand, and has been answered by now
 	if err := c.read(); err != nil {
 		t.Fatal(err)
 	}
@@ -37,11 +37,11 @@
 func TestAnswerWithoutBudget(t *testing.T) {
 	for _, size := range []int{1, ring.First - 3, ring.First, ring.First + 1, 5 * ring.First} {
 		near, far := net.Pipe()
-		c := newClient(&Intake{desk: desk.Open(&contract.Contract{}, 1, nil, zap.NewNop()),
+		c := newClient(&Server{dispatcher: dispatch.Open(&settings.Settings{}, 1, nil, zap.NewNop()),
 			budget: ring.NewBudget(0)}, near)
 		value, end := bytes.Repeat([]byte("v"), size), []byte("ready")
 		go func() {
-			c.say(value, end)
+			c.write(value, end)
 			near.Close()
 		}()
 		if got, _ := io.ReadAll(far); !bytes.Equal(got, append(value, end...)) {
@@ -50,11 +50,11 @@
 	}
 }
 
-// A wake that comes late, from the job before, does not end a connection in the middle of a message.
+// A wake that comes late, from the request before, does not end a connection in the middle of a message.
 func TestLateWake(t *testing.T) {
 	near, far := net.Pipe()
 	defer far.Close()
-	c := newClient(&Intake{desk: desk.Open(&contract.Contract{}, 1, nil, zap.NewNop())}, near)
+	c := newClient(&Server{dispatcher: dispatch.Open(&settings.Settings{}, 1, nil, zap.NewNop())}, near)
 	go far.Write([]byte{'Q', 0, 0})
 	if err := c.read(); err != nil || c.in.Len() != 3 {
 		t.Fatal(err, c.in.Len())
--- a/internal/intake/intake.go
+++ b/internal/frontend/frontend.go
@@ -1,5 +1,5 @@
 // Package intake is where clients come in: the listener, their connections, and the answers to them.
-package intake
+package frontend
 
 import (
 	"errors"
@@ -12,47 +12,47 @@
 
 	"go.uber.org/zap"
 
-	"sedgestream/internal/desk"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/pg"
 	"sedgestream/internal/ring"
-	"sedgestream/internal/trip"
+	"sedgestream/internal/upstream"
 )
 
-// Intake serves one listener.
-type Intake struct {
-	desk     *desk.Desk
-	nodes    *trip.Nodes
-	log      *zap.Logger
-	listener net.Listener
-	budget   *ring.Budget
+// Server serves one listener.
+type Server struct {
+	dispatcher *dispatch.Dispatcher
+	nodes      *upstream.Nodes
+	log        *zap.Logger
+	listener   net.Listener
+	budget     *ring.Budget
 
 	wanting   atomic.Bool // a new connection waits for one to end
-	finishing atomic.Bool // no job is begun any more
+	finishing atomic.Bool // no request is begun any more
 
-	mu      sync.Mutex
-	room    *sync.Cond
-	clients map[*client]struct{}
-	ids     map[string]struct{} // of the jobs that are not answered yet
-	most    int
-	spare   int  // beyond that, for clients that can only be told to come again
-	askers  int  // of the connections, those that have asked
-	held    int  // how many of these may be open before the one idle longest ends
-	leaving bool // idle connections are closed
-	closed  bool
-	accepts bool      // Serve runs
-	last    time.Time // once closed, until when those are accepted that had connected, and what has come is read
+	mu       sync.Mutex
+	room     *sync.Cond
+	clients  map[*client]struct{}
+	ids      map[string]struct{} // of the requests that are not answered yet
+	most     int
+	spare    int  // beyond that, for clients that can only be told to come again
+	askers   int  // of the connections, those that have asked
+	held     int  // how many of these may be open before the one idle longest ends
+	draining bool // idle connections are closed
+	closed   bool
+	accepts  bool      // Serve runs
+	last     time.Time // once closed, until when those are accepted that had connected, and what has come is read
 }
 
 // As the platform's page on service has it, a client that sends what can't be read is owed a word or an end within 3 s
 // of its coming. Most of that a client may take for its first query, for the rest of a message, and to read what it is
 // sent.
 const (
-	owed     = 3 * time.Second
-	patience = owed * 9 / 10
+	firstAnswerDue = 3 * time.Second
+	readTimeout    = firstAnswerDue * 9 / 10
 )
 
-// spareShare is the part of the clients' connections that is kept for turning clients away.
-const spareShare = 1.0 / 8
+// reservedShare is the part of the clients' connections that is kept for turning clients away.
+const reservedShare = 1.0 / 8
 
 // Limits are what the clients' side may use.
 type Limits struct {
@@ -62,24 +62,24 @@
 }
 
 // New serves what comes to the listener, once Serve is called.
-func New(l net.Listener, d *desk.Desk, n *trip.Nodes, limits Limits, log *zap.Logger) *Intake {
-	t := &Intake{desk: d, nodes: n, log: log, listener: l, budget: limits.Budget,
+func New(l net.Listener, d *dispatch.Dispatcher, n *upstream.Nodes, limits Limits, log *zap.Logger) *Server {
+	t := &Server{dispatcher: d, nodes: n, log: log, listener: l, budget: limits.Budget,
 		clients: map[*client]struct{}{}, ids: map[string]struct{}{}}
-	t.spare = max(1, int(spareShare*float64(limits.Connections)))
+	t.spare = max(1, int(reservedShare*float64(limits.Connections)))
 	t.most = max(1, limits.Connections-t.spare)
-	t.held = max(1, int((1-spareShare)*float64(limits.Askers)))
+	t.held = max(1, int((1-reservedShare)*float64(limits.Askers)))
 	t.room = sync.NewCond(&t.mu)
 	return t
 }
 
 // Address is where clients connect.
-func (t *Intake) Address() string { return t.listener.Addr().String() }
+func (t *Server) Address() string { return t.listener.Addr().String() }
 
 // Serve accepts until the listener is closed. Where all connections for clients are in use one that waits for nothing
 // makes room. Until it has, and if there is none, a new client is in the spare ones: if there is still no room when its
 // query has come, that is turned away. Beyond them accepting waits. At the end those are accepted that had connected by
 // then: what they wrote has been taken by this machine, and is owed an answer.
-func (t *Intake) Serve() {
+func (t *Server) Serve() {
 	t.setAccepting(true)
 	defer t.setAccepting(false)
 	defer t.listener.Close()
@@ -95,7 +95,7 @@
 			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
 				t.makeRoom()
 			}
-			time.Sleep(time.Duration(t.desk.Deal().Contract.Tick)) // descriptors are out
+			time.Sleep(time.Duration(t.dispatcher.Policy().Settings.Tick)) // descriptors are out
 			continue
 		}
 		c := newClient(t, sock)
@@ -111,44 +111,44 @@
 		t.wanting.Store(false)
 		t.clients[c] = struct{}{}
 		t.mu.Unlock()
-		go c.live()
+		go c.serve()
 	}
 }
 
-func (t *Intake) setAccepting(on bool) {
+func (t *Server) setAccepting(on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.accepts = on
 	t.room.Broadcast()
 }
 
-// lull is how long nobody may have come for the queue of those that had connected to be taken as empty.
-const lull = 10 * time.Millisecond
+// acceptLull is how long nobody may have come for the queue of those that had connected to be taken as empty.
+const acceptLull = 10 * time.Millisecond
 
 // awaits tells whether more connections are to be accepted: always, and once closed up to a lull.
-func (t *Intake) awaits() bool {
+func (t *Server) awaits() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if !t.closed {
 		return true
 	}
 	now := time.Now()
-	if l, ok := t.listener.(interface{ SetDeadline(time.Time) error }); !ok || now.After(t.last) || l.SetDeadline(now.Add(lull)) != nil {
+	if l, ok := t.listener.(interface{ SetDeadline(time.Time) error }); !ok || now.After(t.last) || l.SetDeadline(now.Add(acceptLull)) != nil {
 		return false
 	}
 	return true
 }
 
-func (t *Intake) makeRoom() {
+func (t *Server) makeRoom() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.closeOldest(false)
 }
 
-// settle takes in that one more client has asked. Clients may hold only so many connections for their jobs, and some
-// ask once and never let go: guards against all of these being idle while nobody who has a job can connect any more.
+// noteAsker takes in that one more client has asked. Clients may hold only so many connections for their requests, and some
+// ask once and never let go: guards against all of these being idle while nobody who has a request can connect any more.
 // It harms a client that keeps more connections than it uses by a connection set up anew.
-func (t *Intake) settle() {
+func (t *Server) noteAsker() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.askers++; t.askers > t.held {
@@ -160,7 +160,7 @@
 // among those that have asked, and tells whether any is ending. Clients ask as they come, so those that don't go first:
 // guards against hundreds that connect and say nothing. It harms a client only if its first query is still under way
 // while all places are taken.
-func (t *Intake) closeOldest(asking bool) (ending bool) {
+func (t *Server) closeOldest(asking bool) (ending bool) {
 	var oldest *client
 	var since int64
 	for c := range t.clients {
@@ -175,14 +175,14 @@
 }
 
 // changed tells whoever waits for room, or for the end of all, to look again.
-func (t *Intake) changed() {
+func (t *Server) changed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.room.Broadcast()
 }
 
 // hasRoom tells whether a spare connection may be an ordinary one by now. It waits for those that are ending.
-func (t *Intake) hasRoom() bool {
+func (t *Server) hasRoom() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for len(t.clients) > t.most {
@@ -194,7 +194,7 @@
 	return true
 }
 
-func (t *Intake) gone(c *client) {
+func (t *Server) remove(c *client) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.clients, c)
@@ -204,12 +204,12 @@
 	t.room.Broadcast()
 }
 
-// Leave has the connections end that wait for nothing, now and as they become idle; but one that came after this
+// Drain has the connections end that wait for nothing, now and as they become idle; but one that came after this
 // may ask once.
-func (t *Intake) Leave() {
+func (t *Server) Drain() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.leaving = true
+	t.draining = true
 	for c := range t.clients {
 		if c.asked.Load() {
 			c.closeIdle(c.idleSince.Load())
@@ -217,38 +217,38 @@
 	}
 }
 
-func (t *Intake) isLeaving() bool {
+func (t *Server) isDraining() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.leaving
+	return t.draining
 }
 
 // isOverdue tells whether connections end without another look at what comes: guards against a client that never stops.
-func (t *Intake) isOverdue() bool {
+func (t *Server) isOverdue() bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.closed && time.Now().After(t.last)
 }
 
-// wantsEnd tells whether a connection without a job in hand is to end, idle after a query or not.
-func (t *Intake) wantsEnd(idle bool) bool {
+// wantsEnd tells whether a connection without a request in hand is to end, idle after a query or not.
+func (t *Server) wantsEnd(idle bool) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.closed || t.leaving && idle
+	return t.closed || t.draining && idle
 }
 
-// Close stops the listener once those that had connected are in, begins no job any more, and has connections end that have
+// Close stops the listener once those that had connected are in, begins no request any more, and has connections end that have
 // none in hand; each wakes, and sees that itself. What has come by then is answered first, and so is what comes meanwhile.
-func (t *Intake) Close() {
+func (t *Server) Close() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.finishing.Store(true)
-	t.closed, t.last = true, time.Now().Add(parting)
-	if l, ok := t.listener.(interface{ SetDeadline(time.Time) error }); !ok || l.SetDeadline(time.Now().Add(lull)) != nil {
+	t.closed, t.last = true, time.Now().Add(lingerTimeout)
+	if l, ok := t.listener.(interface{ SetDeadline(time.Time) error }); !ok || l.SetDeadline(time.Now().Add(acceptLull)) != nil {
 		t.listener.Close()
 	}
 	for c := range t.clients {
-		if !c.closeIdle(c.idleSince.Load()) && c.hands.Load() == 0 {
+		if !c.closeIdle(c.idleSince.Load()) && c.inFlight.Load() == 0 {
 			c.sock.SetReadDeadline(ring.Past)
 		}
 	}
@@ -256,7 +256,7 @@
 }
 
 // Wait returns once all connections have ended, after Leave and Close: each with the answer that it is owed.
-func (t *Intake) Wait() {
+func (t *Server) Wait() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for t.accepts || len(t.clients) > 0 {
@@ -265,14 +265,14 @@
 }
 
 // Clients is how many connections are open.
-func (t *Intake) Clients() int {
+func (t *Server) Clients() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return len(t.clients)
 }
 
-// claim notes a job's id, unless a job with that id is in hand.
-func (t *Intake) claim(id string) bool {
+// claim notes a request's id, unless a request with that id is in hand.
+func (t *Server) claim(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	_, taken := t.ids[id]
@@ -282,13 +282,13 @@
 	return !taken
 }
 
-func (t *Intake) unclaim(id string) {
+func (t *Server) unclaim(id string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	delete(t.ids, id)
 }
 
-func newClient(t *Intake, sock net.Conn) *client {
-	return &client{intake: t, sock: sock, begun: time.Now(), came: t.desk.Now(), free: make(chan struct{}, 1), in: ring.New(ring.First, pg.MostMessage, t.budget),
+func newClient(t *Server, sock net.Conn) *client {
+	return &client{server: t, sock: sock, begun: time.Now(), came: t.dispatcher.Now(), free: make(chan struct{}, 1), in: ring.New(ring.First, pg.MostMessage, t.budget),
 		out: ring.New(ring.First, pg.MostMessage, t.budget)}
 }
--- a/internal/intake/moments_test.go
+++ b/internal/frontend/moments_test.go
@@ -1,4 +1,4 @@
-package intake
+package frontend
 
 import (
 	"io"
@@ -12,31 +12,31 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/contract"
-	"sedgestream/internal/desk"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/ring"
+	"sedgestream/internal/settings"
 	"sedgestream/internal/standin"
-	"sedgestream/internal/trip"
+	"sedgestream/internal/upstream"
 )
 
-// door is an intake that nobody serves yet, with one tariff and one node.
-func door(t *testing.T, node string) *Intake {
+// door is an intake that nobody serves yet, with one class and one node.
+func door(t *testing.T, node string) *Server {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { l.Close() })
-	c := &contract.Contract{Names: map[string]int{"view": 0}, Waits: []int64{0}, Contract: balance.Contract{MaxTrips: 3, Tick: int64(5 * time.Millisecond),
-		ConnectTimeout: int64(time.Second), Tariffs: []balance.Tariff{{ContractTime: int64(time.Second), Earnings: 1}}}}
-	nodes := trip.New(&c.Contract, trip.Limits{Connections: 9}, zap.NewNop())
-	d := desk.Open(c, 1, nodes, zap.NewNop())
-	nodes.Desk = d
-	d.List(1, true, []desk.Row{{ID: "s-0", Address: node, Weight: 1, Group: 2, Primary: true}})
+	c := &settings.Settings{ByName: map[string]int{"view": 0}, Deadlines: []int64{0}, Settings: balance.Settings{MaxAttempts: 3, Tick: int64(5 * time.Millisecond),
+		ConnectTimeout: int64(time.Second), Classes: []balance.Class{{Target: int64(time.Second), Worth: 1}}}}
+	nodes := upstream.New(&c.Settings, upstream.Limits{Connections: 9}, zap.NewNop())
+	d := dispatch.Open(c, 1, nodes, zap.NewNop())
+	nodes.Dispatcher = d
+	d.List(1, true, []dispatch.Server{{ID: "s-0", Address: node, Weight: 1, Group: 2, Primary: true}})
 	return New(l, d, nodes, Limits{Connections: 40, Askers: 20, Budget: ring.NewBudget(1 << 20)}, zap.NewNop())
 }
 
 // ask connects and writes its query behind the startup message.
-func ask(t *testing.T, to *Intake, query string) *standin.Client {
+func ask(t *testing.T, to *Server, query string) *standin.Client {
 	sock, err := net.Dial("tcp", to.Address())
 	if err != nil {
 		t.Fatal(err)
@@ -57,7 +57,7 @@
 	for range 12 {
 		clients = append(clients, ask(t, i, standin.View(20000)))
 	}
-	i.Leave()
+	i.Drain()
 	i.Close()
 	begun := time.Now()
 	i.Serve()
@@ -81,12 +81,12 @@
 func TestQueryAsItsConnectionEnds(t *testing.T) {
 	for _, end := range []struct {
 		name   string
-		end    func(*Intake, *client)
+		end    func(*Server, *client)
 		answer string
 	}{
-		{"leaving", func(i *Intake, _ *client) { i.Leave() }, "empty"},
-		{"closing", func(i *Intake, _ *client) { i.Close() }, "empty"},
-		{"place needed", func(_ *Intake, c *client) { c.closeIdle(c.idleSince.Load()) }, "empty"},
+		{"leaving", func(i *Server, _ *client) { i.Drain() }, "empty"},
+		{"closing", func(i *Server, _ *client) { i.Close() }, "empty"},
+		{"place needed", func(_ *Server, c *client) { c.closeIdle(c.idleSince.Load()) }, "empty"},
 	} {
 		i := door(t, "127.0.0.1:1")
 		far, err := net.Dial("tcp", i.Address())
@@ -111,7 +111,7 @@
 		for !ring.Pending(near) {
 			time.Sleep(time.Millisecond)
 		}
-		go c.live()
+		go c.serve()
 		if a := q.Answer(); a != "" {
 			t.Errorf("%s: welcomed by %q", end.name, a)
 			continue
@@ -143,7 +143,7 @@
 	time.Sleep(100 * time.Millisecond) // it waits
 	i.budget.Give(room)
 	standin.Until(t, "its connection to end", func() bool { return i.Clients() == 0 })
-	standin.Until(t, "its job to end, if there is one", func() bool { return i.desk.InHand() == 0 })
+	standin.Until(t, "its job to end, if there is one", func() bool { return i.dispatcher.InHand() == 0 })
 	if jobs := n.Got(); len(jobs) != 0 {
 		t.Errorf("the node got %d jobs", len(jobs))
 	}
@@ -164,8 +164,8 @@
 	answer := make([]byte, 400<<10)
 	over := make(chan struct{})
 	go func() {
-		c.say(answer)
-		c.part(true)
+		c.write(answer)
+		c.lingerClose(true)
 		near.Close()
 		close(over)
 	}()
@@ -231,7 +231,7 @@
 	near.(*net.TCPConn).SetWriteBuffer(4 << 10)
 	c := newClient(i, near)
 	i.clients[c] = struct{}{}
-	go c.live()
+	go c.serve()
 	q := standin.NewClient(t, far)
 	if !q.Greet() {
 		t.Fatal("no welcome")
@@ -246,13 +246,13 @@
 	far.(*net.TCPConn).CloseWrite()
 	time.Sleep(300 * time.Millisecond) // from then on nothing may be sent for it
 	close(let)
-	standin.Until(t, "its jobs to end", func() bool { return i.desk.InHand() == 0 })
+	standin.Until(t, "its jobs to end", func() bool { return i.dispatcher.InHand() == 0 })
 	if jobs := n.Got(); len(jobs) != 1 {
 		t.Errorf("%d jobs were sent for a client that had left", len(jobs)-1)
 	}
 }
 
-// Queries that come while an answer is being written become jobs, and are answered behind it, each whole and in its turn.
+// Queries that come while an answer is being written become requests, and are answered behind it, each whole and in its turn.
 func TestQueriesUnderAnAnswer(t *testing.T) {
 	n := standin.NewNode(t, "copy")
 	i := door(t, n.Listener.Addr().String())
@@ -263,7 +263,7 @@
 	near.SetWriteBuffer(4 << 10)
 	c := newClient(i, near)
 	i.clients[c] = struct{}{}
-	go c.live()
+	go c.serve()
 	q := standin.NewClient(t, far)
 	if !q.Greet() {
 		t.Fatal("no welcome")
@@ -273,8 +273,8 @@
 		view := standin.View(20000)
 		ids = append(ids, standin.Job(view))
 		q.Ask(view)
-		q.Ask("") // answered without a job, in its turn
-		standin.Until(t, "its job to be done", func() bool { return len(n.Got()) == len(ids) && i.desk.InHand() == 0 })
+		q.Ask("") // answered without a request, in its turn
+		standin.Until(t, "its job to be done", func() bool { return len(n.Got()) == len(ids) && i.dispatcher.InHand() == 0 })
 	}
 	for _, id := range ids {
 		if a := q.Answer(); !strings.HasPrefix(a, id+"v") || len(a) != len(id)+60<<10 {
--- a/internal/advise/advise.go
+++ b/internal/inspect/advise.go
@@ -1,7 +1,7 @@
 // Package advise answers operators' questions about files before any router uses them: what is wrong with one, what
-// becomes of a job by its terms, and which jobs a change of terms would treat otherwise. It answers in tables for people
+// becomes of a request by its terms, and which requests a change of terms would treat otherwise. It answers in tables for people
 // and in JSON for programs.
-package advise
+package inspect
 
 import (
 	"encoding/json"
@@ -13,8 +13,8 @@
 	"time"
 
 	"sedgestream/balance"
+	"sedgestream/internal/configfile"
 	"sedgestream/internal/decide/terms"
-	"sedgestream/internal/paper"
 	"sedgestream/internal/service"
 	"sedgestream/internal/termsfile"
 )
@@ -22,7 +22,7 @@
 // Wrong is the error of a file that was read and found wrong; all has been told by then.
 var Wrong = errors.New("the file is wrong")
 
-// Desk is where answers go: to people or as JSON to Out, faults and warnings to Err.
+// Dispatcher is where answers go: to people or as JSON to Out, faults and warnings to Err.
 type Desk struct {
 	Out, Err io.Writer
 	JSON     bool
@@ -37,7 +37,7 @@
 
 // Faults tells what is wrong, if anything.
 func (d *Desk) Faults(err error) error {
-	var fs paper.Faults
+	var fs configfile.Faults
 	if !errors.As(err, &fs) {
 		return err
 	}
@@ -71,7 +71,7 @@
 }
 
 // some is never null in JSON.
-func some(fs paper.Faults) paper.Faults { return append(paper.Faults{}, fs...) }
+func some(fs configfile.Faults) configfile.Faults { return append(configfile.Faults{}, fs...) }
 
 // ground is that of the platform's file.
 func (d *Desk) ground(posting string) (*terms.Ground, error) {
@@ -98,7 +98,7 @@
 	}
 	b, err := termsfile.Load(path, g)
 	if d.JSON {
-		var fs paper.Faults
+		var fs configfile.Faults
 		errors.As(err, &fs)
 		if err := d.json(map[string]any{"faults": some(fs)}); err != nil {
 			return err
@@ -113,7 +113,7 @@
 	return nil
 }
 
-// Asked is a job that operators ask about.
+// Asked is a request that operators ask about.
 type Asked struct {
 	Tariff         string
 	Group          int64
@@ -122,7 +122,7 @@
 	At             time.Time
 }
 
-// Explain tells what becomes of a job.
+// Explain tells what becomes of a request.
 func (d *Desk) Explain(path, posting string, a Asked) error {
 	g, err := d.ground(posting)
 	if err != nil {
@@ -135,7 +135,7 @@
 	j := terms.Job{Tariff: -1, Group: a.Group, Key: a.Key, Session: a.Session, Again: a.Again}
 	for i, name := range g.Tariffs {
 		if name == a.Tariff {
-			j.Tariff, j.Write = i, g.Contract.Tariffs[i].Need == balance.Write
+			j.Tariff, j.Write = i, g.Contract.Classes[i].Need == balance.Write
 		}
 	}
 	if j.Tariff < 0 {
@@ -169,7 +169,7 @@
 	return w.Flush()
 }
 
-// Diff tells which jobs the file after would treat otherwise than the one before.
+// Diff tells which requests the file after would treat otherwise than the one before.
 func (d *Desk) Diff(before, after, posting string) error {
 	g, err := d.ground(posting)
 	if err != nil {
--- a/internal/advise/fleet.go
+++ b/internal/inspect/fleet.go
@@ -1,4 +1,4 @@
-package advise
+package inspect
 
 import (
 	"cmp"
@@ -12,8 +12,8 @@
 	"time"
 
 	"sedgestream/internal/decide/members"
+	"sedgestream/internal/message"
 	"sedgestream/internal/tierfile"
-	"sedgestream/internal/words"
 )
 
 // askedAtOnce bounds how many members are asked at a time.
@@ -21,9 +21,9 @@
 
 // Sight is the whole fleet as its members see it.
 type Sight struct {
-	Views  []*words.Fleet `json:"views"`
-	Silent []Silence      `json:"silent,omitempty"` // of those that others believe to be there
-	Differ []Difference   `json:"differ,omitempty"`
+	Views  []*message.Fleet `json:"views"`
+	Silent []Silence        `json:"silent,omitempty"` // of those that others believe to be there
+	Differ []Difference     `json:"differ,omitempty"`
 }
 
 // Silence is a member that did not answer the operator.
@@ -77,7 +77,7 @@
 			turns <- struct{}{}
 			go func() {
 				defer func() { <-turns; all.Done() }()
-				w, err := operate(address, &words.Word{Fleet: &words.Fleet{}})
+				w, err := operate(address, &message.Word{Fleet: &message.Fleet{}})
 				mu.Lock()
 				defer mu.Unlock()
 				if err == nil && w.Fleet == nil {
@@ -102,24 +102,24 @@
 			}
 		}
 	}
-	slices.SortFunc(s.Views, func(a, b *words.Fleet) int {
+	slices.SortFunc(s.Views, func(a, b *message.Fleet) int {
 		return cmp.Or(cmp.Compare(a.Self.Name, b.Self.Name), cmp.Compare(a.Self.Life, b.Self.Life))
 	})
-	s.Views = slices.CompactFunc(s.Views, func(a, b *words.Fleet) bool { return a.Self.Life == b.Self.Life })
+	s.Views = slices.CompactFunc(s.Views, func(a, b *message.Fleet) bool { return a.Self.Life == b.Self.Life })
 	slices.SortFunc(s.Silent, func(a, b Silence) int { return cmp.Compare(a.Address, b.Address) })
 	s.compare()
 	return s, nil
 }
 
 // operate says one word as an operator and gives the answer.
-func operate(address string, say *words.Word) (*words.Word, error) {
+func operate(address string, say *message.Word) (*message.Word, error) {
 	sock, err := net.DialTimeout("tcp", address, wait)
 	if err != nil {
 		return nil, err
 	}
 	defer sock.Close()
-	c := words.On(sock)
-	for _, w := range []*words.Word{{Hello: &words.Hello{Version: words.Version, Kind: words.Operator}}, say} {
+	c := message.On(sock)
+	for _, w := range []*message.Word{{Hello: &message.Hello{Version: message.Version, Kind: message.Operator}}, say} {
 		if err := c.Write(w, wait); err != nil {
 			return nil, err
 		}
@@ -139,7 +139,7 @@
 // compare finds who has another view than most, and in what.
 func (s *Sight) compare() {
 	count := map[uint64]int{}
-	var most *words.Fleet
+	var most *message.Fleet
 	for _, v := range s.Views {
 		if count[v.View.Digest]++; most == nil || count[v.View.Digest] > count[most.View.Digest] {
 			most = v
@@ -263,7 +263,7 @@
 	if err != nil {
 		return err
 	}
-	off := &words.Word{Off: &words.Off{Name: name, By: by}}
+	off := &message.Word{Off: &message.Off{Name: name, By: by}}
 	var why error
 	for _, v := range s.Views { // itself first
 		if v.Self.Name != name {
--- a/internal/advise/plan.go
+++ b/internal/inspect/plan.go
@@ -1,4 +1,4 @@
-package advise
+package inspect
 
 import (
 	"fmt"
@@ -9,8 +9,8 @@
 	"time"
 
 	"sedgestream/balance"
+	"sedgestream/internal/message"
 	"sedgestream/internal/tierfile"
-	"sedgestream/internal/words"
 )
 
 // wait is how long a planner has to answer an operator.
@@ -22,7 +22,7 @@
 	if err != nil {
 		return d.Faults(err)
 	}
-	var views []*words.Show
+	var views []*message.Show
 	missing := 0
 	for _, p := range slices.Sorted(maps.Keys(tier.Planners)) {
 		if name != "" && p != name {
@@ -40,7 +40,7 @@
 		return fmt.Errorf("%s names no planner %q", path, name)
 	}
 	if d.JSON {
-		if err := d.json(append([]*words.Show{}, views...)); err != nil {
+		if err := d.json(append([]*message.Show{}, views...)); err != nil {
 			return err
 		}
 	} else if err := d.table(views); err != nil {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-func ask(address string) (*words.Show, error) {
-	w, err := operate(address, &words.Word{Show: &words.Show{}})
+func ask(address string) (*message.Show, error) {
+	w, err := operate(address, &message.Word{Show: &message.Show{}})
 	if err == nil && w.Show == nil {
 		err = fmt.Errorf("it answers something else")
 	}
@@ -66,7 +66,7 @@
 var standings = map[balance.Standing]string{balance.In: "up", balance.Draining: "draining", balance.Gone: "gone"}
 
 // table has the planners side by side, a node a line, and below each forwarder's own view.
-func (d *Desk) table(views []*words.Show) error {
+func (d *Desk) table(views []*message.Show) error {
 	w := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', 0)
 	for _, v := range views {
 		fmt.Fprintf(w, "planner %s", v.Planner)
--- a/internal/field/field.go
+++ b/internal/jsonfield/field.go
@@ -1,6 +1,6 @@
 // Package field reads the fields of JSON objects. A reader that meets a wrong value leaves by a panic that
 // Catch turns into an error, so that callers read many fields without a check after each.
-package field
+package jsonfield
 
 import (
 	"fmt"
--- a/internal/lab/day/day.go
+++ b/internal/lab/day/day.go
@@ -33,7 +33,7 @@
 	Cold     Kind = "cold"     // nodes, Who, or the replica that Part says, end, and start again as young ones when it is over
 	Weak     Kind = "weak"     // nodes, Who, have Part of their strength, which lists don't tell; above 1 they are stronger
 	Lie      Kind = "lie"      // nodes, Who, say that they hold nothing
-	Err      Kind = "err"      // nodes, Who, answer each job by an error at once
+	Err      Kind = "err"      // nodes, Who, answer each request by an error at once
 	Slow     Kind = "slow"     // Who run for Part of the time only
 	Garbage  Kind = "garbage"  // Part datagrams a second that are none of ours come to each of Who
 	Names    Kind = "names"    // Part made-up names a second are told to each of Who
--- a/internal/lab/day/file.go
+++ b/internal/lab/day/file.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"sedgestream/internal/paper"
+	"sedgestream/internal/configfile"
 )
 
 // Text is the schema of files of days, as it is published.
@@ -17,17 +17,17 @@
 //go:embed day.schema.json
 var Text []byte
 
-var schema = sync.OnceValue(func() *paper.Schema { return paper.NewSchema(Text) })
+var schema = sync.OnceValue(func() *configfile.Schema { return configfile.NewSchema(Text) })
 
 // Fleet is who takes part where a day is played among processes.
 type Fleet struct {
-	Planners, Routers, Plain int // the first instances; those behind; the last of these, that heed no planner
+	Planners, Routers, Plain int // the first instances; those behind; the last of these, that follow no planner
 	Groups, Nodes            int // of nodes; in each
-	Cores                    int // of a node; 0: it works on any number of jobs at a time
+	Cores                    int // of a node; 0: it works on any number of requests at a time
 	Work                     time.Duration
 	Clients                  int // of each router
 	Pause                    time.Duration
-	Loads, Reads             bool    // routers tell planners of their trips; clients only read
+	Loads, Reads             bool    // routers tell planners of their attempts; clients only read
 	Uneven                   float64 // standard deviation of the logarithm of routers' traffic
 	Contract                 string  // a file with the routers' settings; "" for the rig's own
 }
@@ -108,7 +108,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := paper.Read(path, text)
+	s := configfile.Read(path, text)
 	if s.Value == nil {
 		return nil, s.Err()
 	}
@@ -119,9 +119,9 @@
 	if err := json.Unmarshal(text, &in); err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	var notes []paper.Note
+	var notes []configfile.Note
 	note := func(at, format string, args ...any) {
-		notes = append(notes, paper.Note{At: at, Reason: fmt.Sprintf(format, args...)})
+		notes = append(notes, configfile.Note{At: at, Reason: fmt.Sprintf(format, args...)})
 	}
 	read := func(at, text string, usual time.Duration) time.Duration {
 		if text == "" {
--- a/internal/lab/even/even.go
+++ b/internal/lab/even/even.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Visit is a job at a node. Times are ns of one clock.
+// Visit is a request at a node. Times are ns of one clock.
 type Visit struct {
 	Came, Ended int64 // Ended 0: it never was
 	Router      int   // who sent it
@@ -19,8 +19,8 @@
 // Node is one with its ledger.
 type Node struct {
 	Name     string
-	Group    int     // of nodes that may take each other's jobs
-	Capacity float64 // jobs that it works on at a time, as it truly is
+	Group    int     // of nodes that may take each other's requests
+	Capacity float64 // requests that it works on at a time, as it truly is
 	From, To int64   // when it could serve; To 0: to the end
 	Visits   []Visit // by Came
 }
@@ -28,12 +28,12 @@
 // Windows are those over which is looked at load, ns.
 var Windows = []time.Duration{50 * time.Millisecond, 250 * time.Millisecond, 2 * time.Second}
 
-// Figures are of one length of windows. Load is jobs in hand against capacity; windows in which a group has hardly any are left out.
+// Figures are of one length of windows. Load is requests in hand against capacity; windows in which a group has hardly any are left out.
 type Figures struct {
 	Window   time.Duration
 	Peak     float64 // most loaded node's load over the mean, on average over windows
 	CV       float64 // coefficient of variation over a group's nodes, on average over windows
-	Expected float64 // the same if each job had chosen by chance alone: what is left of it is noise of small numbers
+	Expected float64 // the same if each request had chosen by chance alone: what is left of it is noise of small numbers
 	Jain     float64 // (sum x)^2 / (n sum x^2), 1 where all are the same
 }
 
@@ -42,7 +42,7 @@
 type Herd struct {
 	Node     string
 	From, To int64
-	Most     float64 // jobs in hand
+	Most     float64 // requests in hand
 	Routers  int     // that had sent these
 }
 
@@ -52,19 +52,19 @@
 	Herds   []Herd
 	Herding float64 // time that any node was in a herd, as a part of all time
 	Longest time.Duration
-	Idle    float64 // time that a node had nothing while jobs waited at another of its group, as a part of all nodes' time
+	Idle    float64 // time that a node had nothing while requests waited at another of its group, as a part of all nodes' time
 	Wait    time.Duration
 	Jobs    int
 	Nodes   []Mean
-	Gap     time.Duration // the longest for which no job came to a node that could serve
-	// Of the time from a job's coming to a node until its answer: median, 99 %, longest.
+	Gap     time.Duration // the longest for which no request came to a node that could serve
+	// Of the time from a request's coming to a node until its answer: median, 99 %, longest.
 	Median, High, Most time.Duration
 }
 
 // Mean is what one node had.
 type Mean struct {
 	Name string
-	Held float64 // jobs in hand on average, against its capacity
+	Held float64 // requests in hand on average, against its capacity
 	Jobs int
 }
 
@@ -145,7 +145,7 @@
 	return v
 }
 
-// windows are the jobs in hand on average in each window.
+// windows are the requests in hand on average in each window.
 func (n *Node) windows(from, to, w int64) []float64 {
 	held := make([]float64, max(0, int((to-from)/w)))
 	for _, x := range n.Visits {
@@ -166,7 +166,7 @@
 	return held
 }
 
-// change is a job's coming or going.
+// change is a request's coming or going.
 type change struct {
 	at   int64
 	node int
@@ -174,7 +174,7 @@
 	who  int
 }
 
-// brief is what a herd has to last at least to count: below that it is the noise of single jobs.
+// brief is what a herd has to last at least to count: below that it is the noise of single requests.
 const brief = int64(20 * time.Millisecond)
 
 // sweep goes through a group's time, change by change.
@@ -268,7 +268,7 @@
 	v.Herding += float64(herding)
 }
 
-// times are those that jobs took at nodes.
+// times are those that requests took at nodes.
 func (v *Verdict) times(nodes []Node, from, to int64) {
 	var took []int64
 	for i := range nodes {
--- a/internal/lab/even/even_test.go
+++ b/internal/lab/even/even_test.go
@@ -8,7 +8,7 @@
 
 const ms = int64(time.Millisecond)
 
-// steady has a node hold so many jobs all the time.
+// steady has a node hold so many requests all the time.
 func steady(name string, held int, from, to int64) Node {
 	n := Node{Name: name, Capacity: 2}
 	for at := from; at < to; at += 10 * ms {
--- a/internal/lab/evensim/evensim.go
+++ b/internal/lab/evensim/evensim.go
@@ -25,7 +25,7 @@
 	Module  Policy = "module"          // balance, each router alone
 	Words   Policy = "module, words"   // with words between routers, as the platform has them
 	Digests Policy = "module, digests" // with what planners add up
-	Seeing  Policy = "all-seeing"      // least load by the true state, jobs on their way counted
+	Seeing  Policy = "all-seeing"      // least load by the true state, requests on their way counted
 	Late    Policy = "late-seeing"     // one chooser for all: nodes' state as late as digests are, and what it sent since
 	Random  Policy = "random"
 	Round   Policy = "round robin"    // each router by itself
@@ -44,7 +44,7 @@
 	Nodes   int // replicas of each group; a primary more
 	Groups  int
 	Cores   int           // of a node
-	Mean    time.Duration // work of a job
+	Mean    time.Duration // work of a request
 	Load    float64       // of all replicas' capacity
 	Uneven  float64       // spread of traffic among routers: standard deviation of its logarithm
 	Span    time.Duration
@@ -69,7 +69,7 @@
 	Even    *even.Verdict
 	Jobs    int
 	Done    int
-	Late    int // beyond their contract time
+	Late    int // beyond their target latency
 	Bounced int
 	Failed  int
 	Probes  float64 // a router and second
@@ -94,7 +94,7 @@
 	res     Result
 	bytes   float64
 	marks   map[uint32]int // nodes by their marks
-	tariff  balance.Tariff
+	tariff  balance.Class
 	probes  int
 	told    int
 }
@@ -148,11 +148,11 @@
 	return x
 }
 
-// Contract is that of the played jobs: one read that any replica may answer, as fresh ones are told apart elsewhere.
-func contract(p *Plan) *balance.Contract {
-	return &balance.Contract{Tick: int64(5 * time.Millisecond), MaxTrips: 3, Probes: true, AskEvery: 1e10, ConnectTimeout: int64(100 * time.Millisecond), KeepAlive: 3e10,
+// Settings is that of the played requests: one read that any replica may answer, as fresh ones are told apart elsewhere.
+func contract(p *Plan) *balance.Settings {
+	return &balance.Settings{Tick: int64(5 * time.Millisecond), MaxAttempts: 3, Probes: true, AskEvery: 1e10, ConnectTimeout: int64(100 * time.Millisecond), KeepAlive: 3e10,
 		DrainGrace: 5e8, StartShare: 0.15, ColdFor: 5e9, FallMultiple: 2, FallSpan: 1e9, Zone: -1, RoutersTalk: p.Policy == Words,
-		Tariffs: []balance.Tariff{{Need: balance.Bounded, Bound: int64(2 * time.Second), Repeat: balance.Reissuable, ContractTime: int64(10 * p.Mean), Earnings: 1, HardLimit: int64(40 * p.Mean)}}}
+		Classes: []balance.Class{{Need: balance.Bounded, Bound: int64(2 * time.Second), Repeat: balance.Idempotent, Target: int64(10 * p.Mean), Worth: 1, Deadline: int64(40 * p.Mean)}}}
 }
 
 // New makes a world ready.
@@ -165,7 +165,7 @@
 			w.nodes = append(w.nodes, node{group: g})
 		}
 	}
-	w.marks, w.tariff = map[uint32]int{}, contract(&p).Tariffs[0]
+	w.marks, w.tariff = map[uint32]int{}, contract(&p).Classes[0]
 	for n := range w.nodes {
 		w.marks[mark(n)] = n
 	}
@@ -233,7 +233,7 @@
 	return w.Strength(replica, time.Duration(at-w.begin))
 }
 
-// come has a job come to a node.
+// come has a request come to a node.
 func (w *World) come(n int, b back) {
 	d := &w.nodes[n]
 	d.coming--
@@ -271,7 +271,7 @@
 	return past{}
 }
 
-// work begins a job.
+// work begins a request.
 func (w *World) work(n, visit int) {
 	d := &w.nodes[n]
 	d.busy++
@@ -282,7 +282,7 @@
 		d.held--
 		d.visits[visit].Ended = w.now
 		d.note(w)
-		w.answer(n, d.backs[visit], balance.Done, 0)
+		w.answer(n, d.backs[visit], balance.Succeeded, 0)
 		if len(d.queue) > 0 && d.busy < w.Cores {
 			next := d.queue[0]
 			d.queue = d.queue[1:]
@@ -291,8 +291,8 @@
 	})
 }
 
-// answer has a job's ending come back to its router.
-func (w *World) answer(n int, b back, e balance.Ending, after int64) {
+// answer has a request's ending come back to its router.
+func (w *World) answer(n int, b back, e balance.Outcome, after int64) {
 	w.do(after+w.way(), func() { b.r.ended(n, b, e) })
 }
 
--- a/internal/lab/evensim/evensim_test.go
+++ b/internal/lab/evensim/evensim_test.go
@@ -34,7 +34,7 @@
 	return float64(n) / float64(all)
 }
 
-// The same seed is the same to the last trip; another is another.
+// The same seed is the same to the last attempt; another is another.
 func TestSeeds(t *testing.T) {
 	hash := func(seed uint64) uint64 { return New(Usual(30, 0.7, Digests, seed)).Run().Hash }
 	if hash(1) != hash(1) || hash(1) == hash(2) {
@@ -60,7 +60,7 @@
 	}
 }
 
-// A node half as strong as the list says, one that says it holds nothing, and one that is both, don't draw the others' jobs, as
+// A node half as strong as the list says, one that says it holds nothing, and one that is both, don't draw the others' requests, as
 // they do where routers go by what nodes say.
 func TestWrongNodes(t *testing.T) {
 	is := func(n int, _ time.Duration) bool { return n == 3 }
--- a/internal/lab/evensim/router.go
+++ b/internal/lab/evensim/router.go
@@ -13,9 +13,9 @@
 	w      *World
 	number int
 	weight float64
-	rate   float64 // jobs a second
+	rate   float64 // requests a second
 	b      *balance.Router
-	out    []int // trips out, by node
+	out    []int // attempts out, by node
 	turn   int
 	jobs   map[balance.Place]*job
 	serial int
@@ -66,7 +66,7 @@
 	return n
 }
 
-// gap is the time to the next job.
+// gap is the time to the next request.
 func (r *router) gap() int64 {
 	rate := r.rate
 	if r.w.Rate != nil {
@@ -75,7 +75,7 @@
 	return int64(r.w.chance.ExpFloat64() / max(rate, 1e-3) * 1e9)
 }
 
-// arrive takes a job in.
+// arrive takes a request in.
 func (r *router) arrive() {
 	w := r.w
 	w.do(r.gap(), r.arrive)
@@ -90,13 +90,13 @@
 		r.go_(p, 0, n)
 		return
 	}
-	p := r.b.Seat()
+	p := r.b.Reserve()
 	r.jobs[p] = j
 	t := &w.tariff
-	r.b.Take(w.now, p, 0, g, t.HardLimit, 0, &balance.Terms{})
+	r.b.Accept(w.now, p, 0, g, t.Deadline, 0, &balance.Terms{})
 }
 
-// go_ sends a trip.
+// go_ sends an attempt.
 func (r *router) go_(p balance.Place, leg, n int) {
 	w, j := r.w, r.jobs[p]
 	r.out[n]++
@@ -109,28 +109,28 @@
 	w.do(w.way(), func() { w.come(n, back{job: int(p), leg: leg, r: r, work: j.work}) })
 }
 
-// ended takes in a trip's ending.
-func (r *router) ended(n int, b back, e balance.Ending) {
+// ended takes in an attempt's ending.
+func (r *router) ended(n int, b back, e balance.Outcome) {
 	w, p := r.w, balance.Place(b.job)
 	j := r.jobs[p]
 	r.out[n]--
 	if r.meter != nil {
-		r.meter.Ended(w.now, n, e != balance.Done)
+		r.meter.Ended(w.now, n, e != balance.Succeeded)
 	}
 	if j == nil {
 		return
 	}
 	took := w.now - j.came
-	settled := e == balance.Done && !j.over
+	settled := e == balance.Succeeded && !j.over
 	if settled {
 		j.over = true
 		w.res.Done++
-		if took > w.tariff.ContractTime {
+		if took > w.tariff.Target {
 			w.res.Late++
 		}
 	}
 	if r.b == nil {
-		if e != balance.Done {
+		if e != balance.Succeeded {
 			w.res.Failed++
 		}
 		delete(r.jobs, p)
@@ -199,7 +199,7 @@
 	r.take("", r.sample.Digest(w.now, w.Routers))
 }
 
-// Submit implements balance.Outside.
+// Submit implements balance.Actions.
 func (r *router) Submit(p balance.Place, n int, until int64) {
 	j := r.jobs[p]
 	leg := j.legs
@@ -207,25 +207,25 @@
 	r.go_(p, leg, n)
 }
 
-// Revoke implements balance.Outside.
-func (r *router) Revoke(balance.Place, int) {}
+// Cancel implements balance.Actions.
+func (r *router) Cancel(balance.Place, int) {}
 
-// Grant implements balance.Outside.
+// Grant implements balance.Actions.
 func (r *router) Grant(balance.Place, bool) bool { return true }
 
-// Bounce implements balance.Outside.
-func (r *router) Bounce(p balance.Place, _ int64) {
+// Reject implements balance.Actions.
+func (r *router) Reject(p balance.Place, _ int64) {
 	r.jobs[p].over = true
 	r.w.res.Bounced++
 }
 
-// Terminate implements balance.Outside.
-func (r *router) Terminate(p balance.Place) {
+// Fail implements balance.Actions.
+func (r *router) Fail(p balance.Place) {
 	r.jobs[p].over = true
 	r.w.res.Failed++
 }
 
-// Alarm implements balance.Outside.
+// Alarm implements balance.Actions.
 func (r *router) Alarm(after int64) {
 	r.alarm++
 	mine := r.alarm
@@ -236,7 +236,7 @@
 	})
 }
 
-// Probe implements balance.Outside.
+// Probe implements balance.Actions.
 func (r *router) Probe(n int) {
 	w := r.w
 	w.probes++
@@ -251,16 +251,16 @@
 	})
 }
 
-// Release implements balance.Outside.
+// Release implements balance.Actions.
 func (r *router) Release(int) {}
 
-// Watch implements balance.Outside.
+// Watch implements balance.Actions.
 func (r *router) Watch() {}
 
-// Lookup implements balance.Outside.
+// Lookup implements balance.Actions.
 func (r *router) Lookup() {}
 
-// Tell implements balance.Outside.
+// Tell implements balance.Actions.
 func (r *router) Tell(to int, words []byte) {
 	w := r.w
 	text := append([]byte(nil), words...)
@@ -276,10 +276,10 @@
 	}
 }
 
-// Log implements balance.Outside.
+// Log implements balance.Actions.
 func (r *router) Log(int, string) {}
 
-// Vacate implements balance.Outside.
+// Vacate implements balance.Actions.
 func (r *router) Vacate(p balance.Place) { delete(r.jobs, p) }
 
 // note takes into the hash what happened.
--- a/internal/lab/fleet/cost.go
+++ b/internal/lab/fleet/cost.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"sedgestream/internal/lab/day"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // Cost is what the processes took for a while.
@@ -94,12 +94,12 @@
 func (r *Rig) End(n int) { r.end(r.procs[n], syscall.SIGTERM) }
 
 // Ask has an instance tell how it sees the fleet.
-func (r *Rig) Ask(n int) (*words.Fleet, error) { return r.Fleet(r.procs[n]) }
+func (r *Rig) Ask(n int) (*message.Fleet, error) { return r.Fleet(r.procs[n]) }
 
 // Memory is what an instance holds resident, in MB.
 func (r *Rig) Memory(n int) float64 { return residentOf(r.procs[n].cmd.Process.Pid) }
 
-// Last is when the last job of any of these routers came to a node; the zero time if none did.
+// Last is when the last request of any of these routers came to a node; the zero time if none did.
 func (r *Rig) Last(node int, routers func(number int) bool) (at time.Time) {
 	names := map[string]bool{}
 	for _, c := range r.procs {
--- a/internal/lab/fleet/even.go
+++ b/internal/lab/fleet/even.go
@@ -39,7 +39,7 @@
 	return even.Measure(nodes, from.UnixNano(), to.UnixNano())
 }
 
-// loads draws the jobs in hand at each replica.
+// loads draws the requests in hand at each replica.
 func (r *Rig) loads(b *bytes.Buffer, x func(time.Time) float64, begin, end time.Time) {
 	const high, steps = 26, 250
 	step := end.Sub(begin) / steps
--- a/internal/lab/fleet/flood.go
+++ b/internal/lab/fleet/flood.go
@@ -9,7 +9,7 @@
 
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/lab/day"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // namesIn is how many made-up names a datagram tells.
@@ -25,7 +25,7 @@
 	}
 	defer sock.Close()
 	chance := rand.New(rand.NewPCG(r.Seed, uint64(k)))
-	mark := words.MarkOf(r.fleetName())
+	mark := message.MarkOf(r.fleetName())
 	each := f.Part
 	if f.Kind == day.Names {
 		each /= namesIn
@@ -58,12 +58,12 @@
 
 // spoilt is a datagram that is none of ours: noise, one cut off, one of another version or fleet, one with a field out of bounds, or
 // one that is too long.
-func spoilt(chance *rand.Rand, mark words.Mark) []byte {
+func spoilt(chance *rand.Rand, mark message.Mark) []byte {
 	noise := make([]byte, 1+chance.IntN(members.MostWord))
 	for i := range noise {
 		noise[i] = byte(chance.Uint32())
 	}
-	sound, _ := words.AppendDatagram(word("ghost"), mark)
+	sound, _ := message.AppendDatagram(word("ghost"), mark)
 	switch chance.IntN(6) {
 	case 0:
 		return noise
@@ -73,25 +73,25 @@
 		sound[0]++
 		return sound
 	case 3:
-		foreign, _ := words.AppendDatagram(word("ghost"), mark+1)
+		foreign, _ := message.AppendDatagram(word("ghost"), mark+1)
 		return foreign
 	case 4:
 		w := word("ghost")
 		w.From.Incarnation = members.MostIncarnation + 1
-		wild, _ := words.AppendDatagram(w, mark)
+		wild, _ := message.AppendDatagram(w, mark)
 		return wild
 	}
 	return append(sound, make([]byte, 20<<10)...)
 }
 
 // madeUp tells of some that were never there.
-func madeUp(mark words.Mark, serial *int) []byte {
+func madeUp(mark message.Mark, serial *int) []byte {
 	w := word("liar")
 	for range namesIn {
 		*serial++
 		w.Rumors = append(w.Rumors, members.Record{Name: fmt.Sprintf("nobody%07d", *serial), Address: "127.0.0.1:9", Life: uint64(*serial), Incarnation: 1})
 	}
-	text, _ := words.AppendDatagram(w, mark)
+	text, _ := message.AppendDatagram(w, mark)
 	return text
 }
 
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/judge.go
@@ -12,8 +12,8 @@
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/lab/day"
 	"sedgestream/internal/lab/even"
+	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
-	"sedgestream/internal/words"
 )
 
 // Verdict is what a day came to. Times are in periods.
@@ -26,7 +26,7 @@
 	Bounced  int
 	Drains   int           // that were told
 	Cold     float64       // the most that a young node got, as a part of its limit
-	Even     *even.Verdict // of replicas that work on a bounded number of jobs; nil where none do
+	Even     *even.Verdict // of replicas that work on a bounded number of requests; nil where none do
 	Bytes    float64       // of datagrams, an instance and second
 	Words    float64
 	Found    []string // broken rules and promises
@@ -42,7 +42,7 @@
 // poll is what all instances told at a moment, with the truth of then.
 type poll struct {
 	at    time.Time
-	views []*words.Fleet // by number; nil of one that did not answer
+	views []*message.Fleet // by number; nil of one that did not answer
 	truth []state
 	cuts  []*day.Fault
 }
@@ -55,7 +55,7 @@
 
 func (r *Rig) poll() {
 	procs := r.all()
-	p := poll{at: time.Now(), views: make([]*words.Fleet, len(procs)), truth: make([]state, len(procs))}
+	p := poll{at: time.Now(), views: make([]*message.Fleet, len(procs)), truth: make([]state, len(procs))}
 	r.mu.Lock()
 	for n, c := range procs {
 		p.truth[n] = state{c.up, c.stopped, c.slow, c.left, c.twin, c.since, c.relay.Address}
@@ -106,7 +106,7 @@
 			}
 		}
 	}
-	var first *words.Fleet
+	var first *message.Fleet
 	for n, s := range p.truth {
 		if v := p.views[n]; s.up && !s.left {
 			if first == nil {
@@ -267,7 +267,7 @@
 	fallSpan     = time.Second
 	fallMultiple = 2.0
 	startShare   = 0.15
-	few          = 8 // jobs, below which nothing can be said
+	few          = 8 // requests, below which nothing can be said
 )
 
 // coldRule checks that over any span of the rule a node which started lately got at most the multiple of its warmth's share of what
--- a/internal/lab/fleet/load.go
+++ b/internal/lab/fleet/load.go
@@ -11,7 +11,7 @@
 	"sedgestream/internal/standin"
 )
 
-// ledger is what clients know of their jobs.
+// ledger is what clients know of their requests.
 type ledger struct {
 	mu sync.Mutex
 	of map[string]*job
@@ -27,7 +27,7 @@
 	excused bool // its router was killed, stood still or was starved meanwhile
 }
 
-// Times of jobs, of standin.Brisk.
+// Times of requests, of standin.Brisk.
 const (
 	hardLimit  = 2000 * time.Millisecond
 	window     = 1200 * time.Millisecond
@@ -35,7 +35,7 @@
 	busy       = 750 * time.Millisecond // for a machine with other work, in what is checked by the clock
 )
 
-// tariffs are asked for in turn.
+// classes are asked for in turn.
 var tariffs = []string{"view", "view", "view", "now", "order", "once"}
 
 // load has clients ask a router, and come again when it is back.
@@ -89,7 +89,7 @@
 	chance *rand.Rand
 }
 
-// pause is between an answer and the next job: exponential, as many clients together are.
+// pause is between an answer and the next request: exponential, as many clients together are.
 func (a *asker) pause() time.Duration {
 	return time.Duration(float64(a.every) * min(4, a.chance.ExpFloat64()))
 }
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -18,9 +18,9 @@
 	"time"
 
 	"sedgestream/internal/lab/day"
+	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
 	"sedgestream/internal/standin/link"
-	"sedgestream/internal/words"
 )
 
 // Plan is what a rig consists of.
@@ -29,20 +29,20 @@
 	Env      []string // and what it needs beside the usual environment
 	Planners int      // the first instances
 	Routers  int      // forwarders, those behind
-	Plain    int      // of these, the last, routers that heed no planner
+	Plain    int      // of these, the last, routers that follow no planner
 	Nodes    []*standin.Node
 	Contract string // of the routers, as JSON
 	Period   time.Duration
 	Term     time.Duration // of leases
 	Clients  int           // of each router
-	Every    time.Duration // between a client's jobs
+	Every    time.Duration // between a client's requests
 	Folder   string        // of logs and files
 	Seed     uint64
 	Limits   string // of each router, as JSON; usual ones if ""
 	// ClientsOf says how many clients a router has, by its number; nil: Clients each.
 	ClientsOf func(n int) int
 	Progress  func(line string) // is told what happens; nil: nobody is
-	Loads     bool              // routers tell planners of their trips
+	Loads     bool              // routers tell planners of their attempts
 	Reads     bool              // clients only read
 	Uneven    float64           // standard deviation of the logarithm of routers' traffic
 	Together  bool              // all start at the same moment, not some at a time
@@ -332,7 +332,7 @@
 }
 
 // Fleet asks an instance how it sees the fleet, past all relays.
-func (r *Rig) Fleet(c *proc) (*words.Fleet, error) {
+func (r *Rig) Fleet(c *proc) (*message.Fleet, error) {
 	r.mu.Lock()
 	at := c.member
 	r.mu.Unlock()
@@ -341,8 +341,8 @@
 		return nil, err
 	}
 	defer sock.Close()
-	w := words.On(sock)
-	for _, say := range []*words.Word{{Hello: &words.Hello{Version: words.Version, Kind: words.Operator}}, {Fleet: &words.Fleet{}}} {
+	w := message.On(sock)
+	for _, say := range []*message.Word{{Hello: &message.Hello{Version: message.Version, Kind: message.Operator}}, {Fleet: &message.Fleet{}}} {
 		if err := w.Write(say, time.Second); err != nil {
 			return nil, err
 		}
--- a/internal/lab/membersim/world.go
+++ b/internal/lab/membersim/world.go
@@ -15,7 +15,7 @@
 
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/lab/day"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // How the network is while nothing is wrong, as parts of a period; and what a node of it holds for one that stands still.
@@ -348,7 +348,7 @@
 	i.words++
 	size := word.Size()
 	if i.words%checkOne == 0 {
-		text, err := words.AppendDatagram(word, 1)
+		text, err := message.AppendDatagram(word, 1)
 		if err != nil || len(text) > size {
 			w.Seen.Faults = append(w.Seen.Faults, fmt.Sprintf("a datagram of %d bytes, said to have %d: %v", len(text), size, err))
 		}
--- a/internal/lab/routeterms/main.go
+++ b/internal/lab/routeterms/main.go
@@ -1,6 +1,6 @@
 // Command routeterms measures what terms of routes do, on stand-in nodes and closed-loop clients over loopback: what the
 // ordinary path costs without a file, with one route and with ten thousand; how long ten thousand take to load and swap;
-// what second copies do for the slowest hundredth of jobs; and what a budget does in an outage. Each is repeated, in turn
+// what second copies do for the slowest hundredth of requests; and what a budget does in an outage. Each is repeated, in turn
 // with what it is held against; it prints medians, and minima and maxima in brackets.
 package main
 
@@ -42,7 +42,7 @@
 	}
 }
 
-// contract is brisk: views have 400 ms, clients wait 2 s, second copies are allowed.
+// settings is brisk: views have 400 ms, clients wait 2 s, second copies are allowed.
 var contract = strings.NewReplacer(`"aimUs":80000,"deadlineUs":30000000,"repeat":"pure"`, `"aimUs":400000,"deadlineUs":2000000,"repeat":"pure"`,
 	`"deadlineUs":30000000`, `"deadlineUs":2000000`, `"windowUs":30000000`, `"windowUs":1200000`, `"sendCap":3`, `"sendCap":4`,
 	`"secondCopies":false`, `"secondCopies":true`, `"connectTimeoutUs":5000000`, `"connectTimeoutUs":20000`).Replace(standin.Contract)
@@ -74,7 +74,7 @@
 	}
 }
 
-// sample is one job.
+// sample is one request.
 type sample struct {
 	at, took time.Duration // its coming after the start
 	done     bool
@@ -206,7 +206,7 @@
 	return 0
 }
 
-// swap is how long files take to load under load, and the longest job meanwhile.
+// swap is how long files take to load under load, and the longest request meanwhile.
 func swap() {
 	sizes := []int{0, 100, 1000, 10_000}
 	out := each(sizes, func(n int, f figures) {
@@ -255,7 +255,7 @@
 	}
 }
 
-// tail is what copies do where one of four replicas is slow for a tenth of its jobs.
+// tail is what copies do where one of four replicas is slow for a tenth of its requests.
 func tail() {
 	type variant struct{ name, terms string }
 	one := func(terms string) string {
@@ -305,7 +305,7 @@
 	outageOf(0.7)
 }
 
-// outageOf has all nodes fail a part of their jobs for a while, each of which serves only so many at a time, with clients
+// outageOf has all nodes fail a part of their requests for a while, each of which serves only so many at a time, with clients
 // that ask again at once.
 func outageOf(part float64) {
 	const sick, well, most = time.Second, 4 * time.Second, 6
@@ -357,7 +357,7 @@
 	}
 }
 
-// whole is when, after the nodes were well, 99 of 100 jobs that came within a tenth of a second were done for the first
+// whole is when, after the nodes were well, 99 of 100 requests that came within a tenth of a second were done for the first
 // time, in ms; the whole time if never.
 func whole(jobs []sample, from time.Duration) float64 {
 	const step = 100 * time.Millisecond
--- a/internal/member/exchange.go
+++ b/internal/member/exchange.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"sedgestream/internal/decide/members"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // errFull is the answer to one exchange too many at a time.
@@ -19,17 +19,17 @@
 	if err != nil {
 		return err
 	}
-	c := words.On(sock)
+	c := message.On(sock)
 	defer sock.Close()
-	if err := c.Write(&words.Word{Hello: &words.Hello{Version: words.Version, Kind: words.Member, Name: s.post.Name}}, patience); err != nil {
+	if err := c.Write(&message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Member, Name: s.post.Name}}, patience); err != nil {
 		return err
 	}
 	s.mu.Lock()
 	sums := s.members.Sums()
-	first := &words.Piece{Mark: s.mark, From: s.members.Self(), Sums: sums[:], New: !s.members.Joined()}
+	first := &message.Piece{Mark: s.mark, From: s.members.Self(), Sums: sums[:], New: !s.members.Joined()}
 	s.tally.Exchanges++
 	s.mu.Unlock()
-	if err := c.Write(&words.Word{Piece: first}, patience); err != nil {
+	if err := c.Write(&message.Word{Piece: first}, patience); err != nil {
 		return err
 	}
 	buckets, err := s.hear(c)
@@ -40,9 +40,9 @@
 }
 
 // host is the other side of it.
-func (s *Instance) host(c *words.Conn, p *words.Piece) error {
+func (s *Instance) host(c *message.Conn, p *message.Piece) error {
 	if p.Mark != s.mark {
-		return words.ErrFleet
+		return message.ErrFleet
 	}
 	if s.guests.Add(1) > mostGuests {
 		s.guests.Add(-1)
@@ -62,19 +62,19 @@
 }
 
 // say tells what is known in these buckets.
-func (s *Instance) say(c *words.Conn, buckets []int) error {
+func (s *Instance) say(c *message.Conn, buckets []int) error {
 	s.mu.Lock()
 	rs := s.members.Piece(s.now(), buckets)
 	self := s.members.Self()
 	s.mu.Unlock()
 	for first := true; first || len(rs) > 0; first = false {
-		n := min(len(rs), words.PieceRecords)
-		p := &words.Piece{Mark: s.mark, From: self, Records: rs[:n], Last: n == len(rs)}
+		n := min(len(rs), message.PieceRecords)
+		p := &message.Piece{Mark: s.mark, From: self, Records: rs[:n], Last: n == len(rs)}
 		if first {
 			p.Buckets = buckets
 		}
 		before := c.Sent
-		if err := c.Write(&words.Word{Piece: p}, patience); err != nil {
+		if err := c.Write(&message.Word{Piece: p}, patience); err != nil {
 			return err
 		}
 		rs = rs[n:]
@@ -86,7 +86,7 @@
 }
 
 // hear takes in what the other tells, up to its last piece, and gives the buckets that were told of.
-func (s *Instance) hear(c *words.Conn) (buckets []int, err error) {
+func (s *Instance) hear(c *message.Conn) (buckets []int, err error) {
 	for end := time.Now().Add(10 * patience); time.Now().Before(end); {
 		before := c.Got
 		w, err := c.Read(patience)
@@ -101,7 +101,7 @@
 		case w.Piece == nil:
 			return nil, errors.New("no piece of an exchange")
 		case w.Piece.Mark != s.mark:
-			return nil, words.ErrFleet
+			return nil, message.ErrFleet
 		}
 		if w.Piece.Buckets != nil {
 			buckets = w.Piece.Buckets
--- a/internal/member/member.go
+++ b/internal/member/member.go
@@ -16,7 +16,7 @@
 	"go.uber.org/zap"
 
 	"sedgestream/internal/decide/members"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // Post is what an instance is told of its membership.
@@ -41,7 +41,7 @@
 // Instance is this process among the others.
 type Instance struct {
 	post     Post
-	mark     words.Mark
+	mark     message.Mark
 	log      *zap.Logger
 	sock     *net.UDPConn
 	from     *net.TCPAddr // that exchanges come from
@@ -53,13 +53,13 @@
 
 	mu       sync.Mutex
 	members  *members.Members
-	loads    func(*words.Loads) // takes in what other routers say of their trips; nil: nobody does
+	loads    func(*message.Loads) // takes in what other routers say of their attempts; nil: nobody does
 	alarm    *time.Timer
 	view     members.View
 	viewed   func(members.View)
 	busy     bool // with an exchange of its own
 	closed   bool
-	tally    words.Tally
+	tally    message.Tally
 	resolved map[string]host // addresses that are names
 }
 
@@ -74,7 +74,7 @@
 		return nil, err
 	}
 	at = sock.LocalAddr().(*net.UDPAddr)
-	s := &Instance{post: p, mark: words.MarkOf(p.Fleet), log: log, sock: sock, start: time.Now(), stop: make(chan struct{}), viewed: viewed,
+	s := &Instance{post: p, mark: message.MarkOf(p.Fleet), log: log, sock: sock, start: time.Now(), stop: make(chan struct{}), viewed: viewed,
 		from: &net.TCPAddr{IP: at.IP}, resolved: map[string]host{}}
 	if p.Advertise == "" {
 		s.post.Advertise = at.String()
@@ -119,14 +119,14 @@
 		if err != nil {
 			continue // of a datagram of its own that nobody took
 		}
-		if words.IsLoads(buf[:n]) {
+		if message.IsLoads(buf[:n]) {
 			s.takeLoads(buf[:n])
 			continue
 		}
-		w, err := words.ReadDatagram(buf[:n], s.mark)
+		w, err := message.ReadDatagram(buf[:n], s.mark)
 		s.mu.Lock()
 		s.tally.WordsIn++
-		if s.tally.BytesIn += int64(n); errors.Is(err, words.ErrFleet) {
+		if s.tally.BytesIn += int64(n); errors.Is(err, message.ErrFleet) {
 			if s.tally.Strange++; s.tally.Strange == 1 {
 				s.log.Warn("words of another fleet come here")
 			}
@@ -171,7 +171,7 @@
 	return s.members.Holds(s.now())
 }
 
-// Routers are how many of those that may be sending heed planners; 0 while that is not known.
+// Routers are how many of those that may be sending follow planners; 0 while that is not known.
 func (s *Instance) Routers() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -181,16 +181,16 @@
 	return s.members.Sending(members.Forwarder)
 }
 
-// Loads has what other routers say of their trips be taken in.
-func (s *Instance) Loads(take func(*words.Loads)) {
+// Loads has what other routers say of their attempts be taken in.
+func (s *Instance) Loads(take func(*message.Loads)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.loads = take
 }
 
-// TellLoads tells some other forwarders, drawn anew, of this one's trips.
-func (s *Instance) TellLoads(l *words.Loads, to int) {
-	text, err := words.AppendLoads(l, s.mark)
+// TellLoads tells some other forwarders, drawn anew, of this one's attempts.
+func (s *Instance) TellLoads(l *message.Loads, to int) {
+	text, err := message.AppendLoads(l, s.mark)
 	if err != nil {
 		s.log.Error("loads that can't be written", zap.Error(err))
 		return
@@ -208,12 +208,12 @@
 
 // takeLoads takes in such a datagram.
 func (s *Instance) takeLoads(text []byte) {
-	l, err := words.ReadLoads(text, s.mark)
+	l, err := message.ReadLoads(text, s.mark)
 	s.mu.Lock()
 	s.tally.BytesIn += int64(len(text))
 	take := s.loads
 	switch {
-	case errors.Is(err, words.ErrFleet):
+	case errors.Is(err, message.ErrFleet):
 		s.tally.Strange++
 	case err != nil:
 		s.tally.Spoilt++
@@ -259,17 +259,17 @@
 }
 
 // Fleet is how things stand, for operators.
-func (s *Instance) Fleet() *words.Fleet {
+func (s *Instance) Fleet() *message.Fleet {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	f := &words.Fleet{Self: s.members.Self(), View: s.members.View(), Holds: s.members.Holds(now), All: s.members.All(now),
+	f := &message.Fleet{Self: s.members.Self(), View: s.members.View(), Holds: s.members.Holds(now), All: s.members.All(now),
 		Strain: s.members.Strain(), Tally: s.tally, Uptime: int64(time.Since(s.start))}
-	if f.View.Members = s.view.Members; len(f.View.Members) > words.FleetRecords {
-		f.View.Members = f.View.Members[:words.FleetRecords]
+	if f.View.Members = s.view.Members; len(f.View.Members) > message.FleetRecords {
+		f.View.Members = f.View.Members[:message.FleetRecords]
 	}
-	if f.Beyond = max(0, len(f.All)-words.FleetRecords); f.Beyond > 0 {
-		f.All = f.All[:words.FleetRecords]
+	if f.Beyond = max(0, len(f.All)-message.FleetRecords); f.Beyond > 0 {
+		f.All = f.All[:message.FleetRecords]
 	}
 	if o, stands := s.members.Other(); stands {
 		o.Since, o.Last = now-o.Since, now-o.Last
@@ -279,10 +279,10 @@
 }
 
 // Off carries out an operator's word.
-func (s *Instance) Off(o *words.Off) *words.Off {
+func (s *Instance) Off(o *message.Off) *message.Off {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	answer := &words.Off{Name: o.Name}
+	answer := &message.Off{Name: o.Name}
 	if s.members.Self().Name == o.Name {
 		s.log.Warn("leaves the fleet by an operator's word", zap.String("by", o.By))
 		s.members.Depart(s.now(), o.By)
@@ -301,7 +301,7 @@
 
 // Send sends a datagram. One that can't be sent is a lost one.
 func (s outside) Send(to string, w *members.Word) {
-	text, err := words.AppendDatagram(w, s.mark)
+	text, err := message.AppendDatagram(w, s.mark)
 	if err != nil {
 		s.log.Error("a word that can't be sent", zap.Error(err))
 		return
@@ -429,14 +429,14 @@
 			continue
 		}
 		s.task(func() {
-			c := words.On(sock)
+			c := message.On(sock)
 			defer sock.Close()
 			w, err := c.Read(patience)
 			if err == nil && w.Hello == nil {
 				err = errors.New("hello comes first")
 			}
 			if err == nil {
-				err = c.Write(&words.Word{Hello: &words.Hello{Version: words.Version, Kind: words.Member, Name: s.post.Name}}, patience)
+				err = c.Write(&message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Member, Name: s.post.Name}}, patience)
 			}
 			for err == nil {
 				if w, err = c.Read(patience); err == nil {
@@ -452,14 +452,14 @@
 }
 
 // Take takes in a word of a connection that has greeted: of an exchange that another began, or an operator's.
-func (s *Instance) Take(c *words.Conn, w *words.Word) error {
+func (s *Instance) Take(c *message.Conn, w *message.Word) error {
 	switch {
 	case w.Piece != nil && len(w.Piece.Sums) == members.Buckets:
 		return s.host(c, w.Piece)
 	case w.Fleet != nil:
-		return c.Write(&words.Word{Fleet: s.Fleet()}, patience)
+		return c.Write(&message.Word{Fleet: s.Fleet()}, patience)
 	case w.Off != nil:
-		return c.Write(&words.Word{Off: s.Off(w.Off)}, patience)
+		return c.Write(&message.Word{Off: s.Off(w.Off)}, patience)
 	case w.Bye != "":
 		return errors.New(w.Bye)
 	}
--- a/internal/words/loads.go
+++ b/internal/message/loads.go
@@ -1,4 +1,4 @@
-package words
+package message
 
 import (
 	"encoding/binary"
@@ -11,7 +11,7 @@
 	"sedgestream/internal/decide/share"
 )
 
-// Loads is what a router tells others of its trips while no planner hears it: a datagram beside those of the membership.
+// Loads is what a router tells others of its attempts while no planner hears it: a datagram beside those of the membership.
 type Loads struct {
 	_msgpack struct{} `msgpack:",as_array"`
 	Life     uint64   // of the router
--- a/internal/words/member.go
+++ b/internal/message/member.go
@@ -1,4 +1,4 @@
-package words
+package message
 
 import (
 	"bytes"
@@ -73,7 +73,7 @@
 	Exchanges  int64 `msgpack:"e" json:"exchanges"`
 	PieceBytes int64 `msgpack:"p" json:"piece_bytes"` // sent and got in exchanges
 	Spoilt     int64 `msgpack:"x" json:"spoilt"`      // words that were none of ours
-	LoadsOut   int64 `msgpack:"lo" json:"loads_out"`  // words on its trips, to other routers
+	LoadsOut   int64 `msgpack:"lo" json:"loads_out"`  // words on its attempts, to other routers
 	LoadsIn    int64 `msgpack:"li" json:"loads_in"`
 	Strange    int64 `msgpack:"z" json:"strange"` // of another fleet
 }
--- a/internal/words/words.go
+++ b/internal/message/message.go
@@ -1,6 +1,6 @@
 // Package words has what planners and forwarders say to each other over TCP: frames of a length and a MessagePack body, each
 // field within its bounds. Whoever says anything else is told why and hung up on.
-package words
+package message
 
 import (
 	"bufio"
@@ -51,7 +51,7 @@
 	Bye    string  `msgpack:"b,omitempty"` // why the connection ends
 }
 
-// Left is the Bye of a forwarder that ends once its last trip has.
+// Left is the Bye of a forwarder that ends once its last attempt has.
 const Left = "left"
 
 // Hello is the first word each way.
@@ -68,7 +68,7 @@
 	Saw     []NodeSaw     `msgpack:"s,omitempty"`
 	Notices []plan.Notice `msgpack:"n,omitempty"` // of its own list
 	Beliefs []Belief      `msgpack:"b,omitempty"` // for operators
-	Loads   []share.Part  `msgpack:"l,omitempty"` // of its own trips, since the report before
+	Loads   []share.Part  `msgpack:"l,omitempty"` // of its own attempts, since the report before
 }
 
 // NodeAsk asks for a lease of a node.
@@ -77,7 +77,7 @@
 	Ask  plan.Ask `msgpack:"a"`
 }
 
-// NodeSaw tells whether a node's trips have failed lately, and nothing else.
+// NodeSaw tells whether a node's attempts have failed lately, and nothing else.
 type NodeSaw struct {
 	Node   string `msgpack:"n"`
 	Failed bool   `msgpack:"f"`
--- a/internal/peer/peer.go
+++ b/internal/peer/peer.go
@@ -8,7 +8,7 @@
 
 	"go.uber.org/zap"
 
-	"sedgestream/internal/desk"
+	"sedgestream/internal/dispatch"
 )
 
 // mostWords is the longest datagram of the protocol page.
@@ -16,16 +16,16 @@
 
 // Peers are the routers that may talk.
 type Peers struct {
-	desk   *desk.Desk
+	desk   *dispatch.Dispatcher
 	log    *zap.Logger
 	sock   *net.UDPConn
 	me     int
-	routes []netip.AddrPort // by their numbers in the contract, the own one included
+	routes []netip.AddrPort // by their numbers in the settings, the own one included
 	all    netip.AddrPort
 }
 
 // Listen opens the address for what others say.
-func Listen(address string, routes []string, all string, me int, d *desk.Desk, log *zap.Logger) (*Peers, error) {
+func Listen(address string, routes []string, all string, me int, d *dispatch.Dispatcher, log *zap.Logger) (*Peers, error) {
 	p := &Peers{desk: d, log: log, me: me}
 	own, err := netip.ParseAddrPort(address)
 	if err != nil {
--- a/internal/pg/answer.go
+++ b/internal/pg/answer.go
@@ -11,9 +11,9 @@
 
 // Answer is what a node has sent for one query so far.
 type Answer struct {
-	Ending balance.Ending // once Whole
-	Whole  bool           // ReadyForQuery has come
-	Value  []byte         // the messages that hold the value, as the node gave them
+	Ending balance.Outcome // once Whole
+	Whole  bool            // ReadyForQuery has come
+	Value  []byte          // the messages that hold the value, as the node gave them
 	Note   balance.Note
 	Report balance.Report
 
@@ -113,10 +113,10 @@
 }
 
 // outcome maps the states of the protocol page's table.
-func (a *Answer) outcome() balance.Ending {
+func (a *Answer) outcome() balance.Outcome {
 	switch a.state {
 	case "":
-		return balance.Done
+		return balance.Succeeded
 	case "25006", "72000":
 		return balance.Miss
 	case "53300", "57P03":
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -1,5 +1,5 @@
 // Package pg reads and writes version 3 of PostgreSQL's protocol, as far as clients and nodes speak it
-// here: simple queries of one statement, with a comment that says what the job is. It does no I/O and
+// here: simple queries of one statement, with a comment that says what the request is. It does no I/O and
 // decides nothing; the words of that wire stay here.
 package pg
 
@@ -185,7 +185,7 @@
 	return AppendError(b, "FATAL", turnedAway, "too many connections", "")
 }
 
-// AppendTermination says that the job is given up, with no promise.
+// AppendTermination says that the request is given up, with no promise.
 func AppendTermination(b []byte) []byte {
 	return AppendError(b, "ERROR", givenUp, "given up", "")
 }
--- a/internal/pg/pg_test.go
+++ b/internal/pg/pg_test.go
@@ -139,10 +139,10 @@
 		stream []byte
 		whole  bool // ReadyForQuery has come
 		told   bool // the ending is known
-		ending balance.Ending
+		ending balance.Outcome
 	}{
-		"done":             {append(append(row("v"), status...), ready...), true, true, balance.Done},
-		"no end":           {row("v"), false, true, balance.Done},
+		"done":             {append(append(row("v"), status...), ready...), true, true, balance.Succeeded},
+		"no end":           {row("v"), false, true, balance.Succeeded},
 		"half a row":       {row("v")[:40], false, false, 0},
 		"no primary":       {append(failed("25006"), ready...), true, true, balance.Miss},
 		"behind":           {append(failed("72000"), ready...), true, true, balance.Miss},
@@ -191,7 +191,7 @@
 		"vitals\x00x0=9,x1\x00", "vitals\x00x0=9,load_share=-1\x00", "vitals\x00x0=9,queue=1e300\x00",
 		"vitals\x00x0=9,queue=NaN\x00", "vitals\x00x0=9\x00x1=1\x00"} {
 		a, err := answer(append(append(row("v"), message('S', body)...), AppendReady(nil)...))
-		if err != nil || !a.Whole || a.Ending != balance.Done || a.Report.Given || a.Report.Position != 0 {
+		if err != nil || !a.Whole || a.Ending != balance.Succeeded || a.Report.Given || a.Report.Position != 0 {
 			t.Errorf("%q: %+v, %v", body, a, err)
 		}
 	}
--- a/internal/pg/statement.go
+++ b/internal/pg/statement.go
@@ -9,7 +9,7 @@
 	"strconv"
 )
 
-// Statement is a client's query: what its comment says of the job, and its text, which goes to nodes
+// Statement is a client's query: what its comment says of the request, and its text, which goes to nodes
 // unchanged but for the time that the client waits.
 type Statement struct {
 	ID     string
--- a/internal/planner/gossip.go
+++ b/internal/planner/gossip.go
@@ -7,14 +7,14 @@
 	"go.uber.org/zap"
 
 	"sedgestream/internal/decide/plan"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // gossip keeps a connection to another planner, over which this one says every period what it knows of nodes.
 func (s *Planner) gossip(name, address string) {
 	every := time.NewTicker(s.post.Period)
 	defer every.Stop()
-	var c *words.Conn
+	var c *message.Conn
 	for {
 		select {
 		case <-s.stop:
@@ -29,7 +29,7 @@
 				continue
 			}
 		}
-		if c.Write(&words.Word{Gossip: s.say()}, s.post.Period) != nil {
+		if c.Write(&message.Word{Gossip: s.say()}, s.post.Period) != nil {
 			c.Sock.Close()
 			c = nil
 		}
@@ -37,16 +37,16 @@
 }
 
 // call connects and greets; what comes back is read by a task of its own.
-func (s *Planner) call(name, address string) *words.Conn {
+func (s *Planner) call(name, address string) *message.Conn {
 	sock, err := net.DialTimeout("tcp", address, s.post.Period)
 	if err != nil {
 		return nil
 	}
-	c := words.On(sock)
+	c := message.On(sock)
 	s.mu.Lock()
 	life := s.life
 	s.mu.Unlock()
-	if c.Write(&words.Word{Hello: &words.Hello{Version: words.Version, Kind: words.Planner, Name: s.post.Name, Life: life}}, s.post.Period) != nil {
+	if c.Write(&message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Planner, Name: s.post.Name, Life: life}}, s.post.Period) != nil {
 		sock.Close()
 		return nil
 	}
@@ -66,10 +66,10 @@
 }
 
 // say is what this planner tells another.
-func (s *Planner) say() *words.Gossip {
+func (s *Planner) say() *message.Gossip {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	g := &words.Gossip{}
+	g := &message.Gossip{}
 	s.board.Each(func(n plan.Notice) { g.Notices = append(g.Notices, n) })
 	return g
 }
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -1,4 +1,4 @@
-// Package planner is the program that carries no jobs: it hears forwarders and the other planners, and lends, tells and
+// Package planner is the program that carries no requests: it hears forwarders and the other planners, and lends, tells and
 // condemns as internal/decide/plan decides.
 //
 // One lock holds all that is decided; each connection has a task that reads, and one that writes what is newest. Nothing
@@ -22,7 +22,7 @@
 	"sedgestream/internal/decide/plan"
 	"sedgestream/internal/decide/share"
 	"sedgestream/internal/member"
-	"sedgestream/internal/words"
+	"sedgestream/internal/message"
 )
 
 // Post is what a planner is told at its start.
@@ -77,13 +77,13 @@
 type forwarder struct {
 	name    string
 	at      int64
-	beliefs []words.Belief
+	beliefs []message.Belief
 }
 
 // conn is a connection with whoever asks.
 type conn struct {
-	*words.Conn
-	hello  words.Hello
+	*message.Conn
+	hello  message.Hello
 	told   uint64        // changes of the board that it has been told
 	hinted uint64        // verdicts that it has been told
 	bell   chan struct{} // rung when there are more
@@ -137,7 +137,7 @@
 		full := len(s.conns) >= s.post.MostIn
 		s.mu.Unlock()
 		if full {
-			words.On(sock).Bye(errors.New("no connection is left"))
+			message.On(sock).Bye(errors.New("no connection is left"))
 			continue
 		}
 		s.task(func() { s.attend(sock) })
@@ -205,7 +205,7 @@
 
 // attend serves one connection.
 func (s *Planner) attend(sock net.Conn) {
-	c := &conn{Conn: words.On(sock), bell: make(chan struct{}, 1)}
+	c := &conn{Conn: message.On(sock), bell: make(chan struct{}, 1)}
 	w, err := c.Read(s.post.Term)
 	if err == nil && w.Hello == nil {
 		err = errors.New("hello comes first")
@@ -220,7 +220,7 @@
 	c.hello = *w.Hello
 	s.mu.Lock()
 	s.conns[c] = struct{}{}
-	hello := &words.Hello{Version: words.Version, Kind: words.Planner, Name: s.post.Name, Life: s.life}
+	hello := &message.Hello{Version: message.Version, Kind: message.Planner, Name: s.post.Name, Life: s.life}
 	s.mu.Unlock()
 	done := make(chan struct{})
 	defer func() {
@@ -230,10 +230,10 @@
 		delete(s.conns, c)
 		s.mu.Unlock()
 	}()
-	if err := c.Write(&words.Word{Hello: hello}, s.post.Term); err != nil {
+	if err := c.Write(&message.Word{Hello: hello}, s.post.Term); err != nil {
 		return
 	}
-	if c.hello.Kind == words.Forwarder {
+	if c.hello.Kind == message.Forwarder {
 		s.task(func() { s.push(c, done) })
 	}
 	for {
@@ -260,12 +260,12 @@
 		case <-c.bell:
 		}
 		s.mu.Lock()
-		a := &words.Answer{Notices: s.news(c)}
+		a := &message.Answer{Notices: s.news(c)}
 		if c.hinted != s.verdicts {
 			c.hinted, a.Condemned = s.verdicts, s.condemned()
 		}
 		s.mu.Unlock()
-		if (len(a.Notices) > 0 || len(a.Condemned) > 0) && c.Write(&words.Word{Answer: a}, s.post.Term) != nil {
+		if (len(a.Notices) > 0 || len(a.Condemned) > 0) && c.Write(&message.Word{Answer: a}, s.post.Term) != nil {
 			c.Sock.Close()
 			return
 		}
@@ -286,7 +286,7 @@
 	}
 	slices.SortFunc(dues, func(a, b due) int { return int(int64(a.number) - int64(b.number)) })
 	for _, d := range dues {
-		if len(ns) == words.MostNodes/8 {
+		if len(ns) == message.MostNodes/8 {
 			c.ring()
 			break
 		}
@@ -306,11 +306,11 @@
 }
 
 // take takes in a word and answers it.
-func (s *Planner) take(c *conn, w *words.Word) error {
+func (s *Planner) take(c *conn, w *message.Word) error {
 	switch {
-	case w.Report != nil && c.hello.Kind == words.Forwarder:
-		return c.Write(&words.Word{Answer: s.report(c, w.Report)}, s.post.Term)
-	case w.Gossip != nil && c.hello.Kind == words.Planner:
+	case w.Report != nil && c.hello.Kind == message.Forwarder:
+		return c.Write(&message.Word{Answer: s.report(c, w.Report)}, s.post.Term)
+	case w.Gossip != nil && c.hello.Kind == message.Planner:
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		s.posted(w.Gossip.Notices)
@@ -319,16 +319,16 @@
 		s.mu.Lock()
 		shown := s.show()
 		s.mu.Unlock()
-		return c.Write(&words.Word{Show: shown}, s.post.Term)
-	case w.Bye == words.Left && c.hello.Kind == words.Forwarder:
+		return c.Write(&message.Word{Show: shown}, s.post.Term)
+	case w.Bye == message.Left && c.hello.Kind == message.Forwarder:
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		s.loads.Gone(uint64(c.hello.Life)) // what it said last, of trips that have ended since, would count for some periods
+		s.loads.Gone(uint64(c.hello.Life)) // what it said last, of attempts that have ended since, would count for some periods
 		delete(s.forwarders, c.hello.Life)
 		return errors.New(w.Bye)
 	case w.Bye != "":
 		return errors.New(w.Bye)
-	case w.Piece != nil && c.hello.Kind == words.Member, (w.Fleet != nil || w.Off != nil) && c.hello.Kind == words.Operator:
+	case w.Piece != nil && c.hello.Kind == message.Member, (w.Fleet != nil || w.Off != nil) && c.hello.Kind == message.Operator:
 		return s.member.Take(c.Conn, w)
 	}
 	err := fmt.Errorf("a %s may not say this", c.hello.Kind)
@@ -359,7 +359,7 @@
 }
 
 // report takes in what a forwarder says and answers its asks.
-func (s *Planner) report(c *conn, r *words.Report) *words.Answer {
+func (s *Planner) report(c *conn, r *message.Report) *message.Answer {
 	holds := s.member.Holds()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -375,18 +375,18 @@
 			}
 		}
 	}
-	a := &words.Answer{Notices: s.news(c), Answered: true, Live: holds.Owners}
+	a := &message.Answer{Notices: s.news(c), Answered: true, Live: holds.Owners}
 	for _, ask := range r.Asks {
 		p := s.pools[ask.Node]
 		if p == nil {
-			if len(s.pools) >= words.MostNodes {
+			if len(s.pools) >= message.MostNodes {
 				continue
 			}
 			p = plan.NewPool(s.life, int64(s.post.Term), now)
 			s.pools[ask.Node] = p
 		}
 		if say, ok := p.Asked(now, ask.Ask); ok {
-			a.Says = append(a.Says, words.NodeSay{Node: ask.Node, Say: say})
+			a.Says = append(a.Says, message.NodeSay{Node: ask.Node, Say: say})
 		}
 	}
 	if holds.Hints {
@@ -412,9 +412,9 @@
 }
 
 // show is this planner's view.
-func (s *Planner) show() *words.Show {
+func (s *Planner) show() *message.Show {
 	now := s.now()
-	v := &words.Show{Planner: s.post.Name, Members: s.member.Known()}
+	v := &message.Show{Planner: s.post.Name, Members: s.member.Known()}
 	loads := map[uint32]*share.Entry{}
 	if s.loads.Routers(now) > 0 {
 		digest := s.loads.Digest(now, s.member.Routers())
@@ -423,23 +423,23 @@
 		}
 	}
 	s.board.Each(func(n plan.Notice) {
-		node := words.Node{Notice: n, Condemned: s.jury.Condemned(now, n.Node)}
+		node := message.Node{Notice: n, Condemned: s.jury.Condemned(now, n.Node)}
 		node.Load = loads[crc32.ChecksumIEEE([]byte(n.Node))]
 		if p := s.pools[n.Node]; p != nil {
 			node.Holders, node.Pledged, node.Lent = p.Sums(now)
 		}
 		v.Nodes = append(v.Nodes, node)
 	})
-	slices.SortFunc(v.Nodes, func(a, b words.Node) int {
+	slices.SortFunc(v.Nodes, func(a, b message.Node) int {
 		if a.Notice.Node < b.Notice.Node {
 			return -1
 		}
 		return 1
 	})
 	for _, f := range s.forwarders {
-		v.Forwarders = append(v.Forwarders, words.ForwarderBelief{Name: f.name, Ago: now - f.at, Beliefs: f.beliefs})
+		v.Forwarders = append(v.Forwarders, message.ForwarderBelief{Name: f.name, Ago: now - f.at, Beliefs: f.beliefs})
 	}
-	slices.SortFunc(v.Forwarders, func(a, b words.ForwarderBelief) int {
+	slices.SortFunc(v.Forwarders, func(a, b message.ForwarderBelief) int {
 		if a.Name < b.Name {
 			return -1
 		}
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -11,7 +11,7 @@
 )
 
 // reload reads the configuration and the terms again. Discovery's address, the settings and the terms are taken up by the
-// running router; jobs in hand keep what they came with. A file that is missing, torn or wrong changes nothing, and what
+// running router; requests in hand keep what they came with. A file that is missing, torn or wrong changes nothing, and what
 // only a restart can change keeps its value and is named.
 func (s *Service) reload() {
 	was := s.phase
@@ -48,7 +48,7 @@
 	}
 }
 
-// renew has the jobs to come keep to a posting's settings, all of them or none.
+// renew has the requests to come keep to a posting's settings, all of them or none.
 func (s *Service) renew(p *Posting) error {
 	begun := time.Now()
 	faults, _, err := Check(os.Getenv("ROUTER_CONFIG"), os.Getenv)
@@ -62,27 +62,27 @@
 	if err != nil {
 		return fmt.Errorf("the terms don't fit them:\n%w", err)
 	}
-	// Words are to be heard before any job counts on them.
+	// Words are to be heard before any request counts on them.
 	if p.Contract.RoutersTalk {
 		if err := s.talk(true); err != nil {
 			return err
 		}
 	}
-	if err := s.desk.Renew(p.Contract, book); err != nil {
+	if err := s.desk.Reconfigure(p.Contract, book); err != nil {
 		s.talk(s.posting.Contract.RoutersTalk)
 		return err
 	}
-	s.nodes.Heed(&p.Contract.Contract)
-	s.list.Heed(&p.Contract.Contract)
+	s.nodes.Configure(&p.Contract.Settings)
+	s.list.Configure(&p.Contract.Settings)
 	changed := s.posting.differing(p)
 	s.posting.Contract, s.posting.Settings = p.Contract, p.Settings
 	s.talk(p.Contract.RoutersTalk)
-	s.log.Info("settings", zap.Strings("changed", changed), zap.Int("classes", len(p.Contract.Tariffs)),
+	s.log.Info("settings", zap.Strings("changed", changed), zap.Int("classes", len(p.Contract.Classes)),
 		zap.Int("in hand", s.desk.InHand()), zap.Duration("took", time.Since(begun)))
 	return nil
 }
 
-// renewTerms has the jobs to come keep to the file of terms as it is now, unless it is wrong.
+// renewTerms has the requests to come keep to the file of terms as it is now, unless it is wrong.
 func (s *Service) renewTerms() {
 	if s.files.Terms == "" {
 		return
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,16 +18,16 @@
 
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/terms"
-	"sedgestream/internal/desk"
+	"sedgestream/internal/discovery"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/forward"
-	"sedgestream/internal/intake"
-	"sedgestream/internal/list"
+	"sedgestream/internal/frontend"
 	"sedgestream/internal/member"
 	"sedgestream/internal/peer"
 	"sedgestream/internal/ring"
 	"sedgestream/internal/termsfile"
 	"sedgestream/internal/tierfile"
-	"sedgestream/internal/trip"
+	"sedgestream/internal/upstream"
 )
 
 // Phase is where the program stands between start and exit.
@@ -51,7 +51,7 @@
 )
 
 // Of the descriptors, some are for the listener, discovery, datagrams and the runtime; clients and nodes
-// share the rest. For their jobs clients hold at most a third of all, as the platform's page on service has it. Of the
+// share the rest. For their requests clients hold at most a third of all, as the platform's page on service has it. Of the
 // memory, a part is the runtime's to stay under, and a part of that for large values.
 const (
 	ownDescriptors = 16
@@ -68,10 +68,10 @@
 	files   Files
 	phase   Phase
 	reloads <-chan os.Signal
-	desk    *desk.Desk
-	nodes   *trip.Nodes
-	intake  *intake.Intake
-	list    *list.Lister
+	desk    *dispatch.Dispatcher
+	nodes   *upstream.Nodes
+	intake  *frontend.Server
+	list    *discovery.Client
 	links   *forward.Links             // to planners; nil unless it forwards
 	member  *member.Instance           // among the other instances; nil unless the tier has members
 	peers   atomic.Pointer[peer.Peers] // nil while routers don't talk
@@ -83,7 +83,7 @@
 type Files struct {
 	Terms string
 	Tier  string
-	// Forward has the router heed the tier's planners; else it is only a member.
+	// Forward has the router follow the tier's planners; else it is only a member.
 	Forward bool
 	// Listen and Advertise are the addresses of its membership: where it listens, and what others are told instead.
 	Listen, Advertise string
@@ -112,7 +112,7 @@
 	}
 }
 
-// readTerms reads the file of terms for the jobs of a posting, if there is one: no book, and no error, where there is none.
+// readTerms reads the file of terms for the requests of a posting, if there is one: no book, and no error, where there is none.
 // Groups that the list has named since the start count beside those that were known then.
 func (s *Service) readTerms(p *Posting, groups map[int64]bool) (*terms.Book, error) {
 	if s.files.Terms == "" {
@@ -139,7 +139,7 @@
 		return err
 	}
 	s.enter(Serving, zap.String("name", s.posting.Name), zap.String("listen", s.intake.Address()),
-		zap.Int("nodes", len(s.posting.Known.Rows)))
+		zap.Int("nodes", len(s.posting.Known.Servers)))
 	sig := stay(s, stops)
 	begun := time.Now()
 	s.enter(Leaving, zap.Stringer("signal", sig), zap.Int("clients", s.intake.Clients()), zap.Int("in hand", s.desk.InHand()))
@@ -163,9 +163,9 @@
 	shared := max(2, p.Descriptors-ownDescriptors)
 	clients := max(1, int(clientsShare*float64(shared)))
 
-	s.nodes = trip.New(&c.Contract, trip.Limits{Connections: shared - clients, Budget: ring.NewBudget(values)}, s.log)
-	s.desk = desk.Open(c, p.Seed, s.nodes, s.log)
-	s.nodes.Desk = s.desk
+	s.nodes = upstream.New(&c.Settings, upstream.Limits{Connections: shared - clients, Budget: ring.NewBudget(values)}, s.log)
+	s.desk = dispatch.Open(c, p.Seed, s.nodes, s.log)
+	s.nodes.Dispatcher = s.desk
 	if s.files.Tier != "" {
 		tier, err := tierfile.Load(s.files.Tier)
 		if err != nil {
@@ -188,7 +188,7 @@
 			}
 		}
 	}
-	s.list = list.New(p.Discovery, p.Known, &c.Contract, s.desk, s.log)
+	s.list = discovery.New(p.Discovery, p.Known, &c.Settings, s.desk, s.log)
 	book, err := s.readTerms(p, nil)
 	if err != nil {
 		return fmt.Errorf("the terms are wrong:\n%w", err)
@@ -201,7 +201,7 @@
 	if err != nil {
 		return err
 	}
-	s.intake = intake.New(listener, s.desk, s.nodes, intake.Limits{Connections: clients,
+	s.intake = frontend.New(listener, s.desk, s.nodes, frontend.Limits{Connections: clients,
 		Askers: int(askersShare * float64(p.Descriptors)), Budget: ring.NewBudget(values)}, s.log)
 	s.task(s.carryOut)
 	s.task(s.intake.Serve)
@@ -270,11 +270,11 @@
 	}()
 }
 
-// carryOut carries out the module's orders that belong to no job.
+// carryOut carries out the module's orders that belong to no request.
 func (s *Service) carryOut() {
 	for {
 		select {
-		case <-s.desk.Bell:
+		case <-s.desk.Pending:
 		case <-s.stop:
 			return
 		}
@@ -291,7 +291,7 @@
 		for _, n := range o.Probes {
 			s.nodes.Probe(n)
 		}
-		for _, w := range o.Words {
+		for _, w := range o.Messages {
 			if peers := s.peers.Load(); peers != nil {
 				peers.Tell(w.To, w.Text)
 			}
@@ -302,11 +302,11 @@
 // leave goes on as before while new connections may come, then has clients go elsewhere as they become idle.
 func (s *Service) leave(begun time.Time) {
 	stay(s, time.After(time.Until(begun.Add(stillComing))))
-	s.intake.Leave()
+	s.intake.Drain()
 	stay(s, time.After(time.Until(begun.Add(stillOwed))))
 }
 
-// finish waits for what is in hand. Each job ends by its hard limit, so this does too.
+// finish waits for what is in hand. Each request ends by its deadline, so this does too.
 func (s *Service) finish() {
 	s.intake.Close()
 	answered := make(chan struct{})
@@ -321,7 +321,7 @@
 		s.links.Close()
 	}
 	if s.member != nil {
-		s.member.Leave() // not before its last trip has ended: till then it may be sending
+		s.member.Leave() // not before its last attempt has ended: till then it may be sending
 		s.member.Close()
 	}
 	s.talk(false)
--- a/internal/service/start.go
+++ b/internal/service/start.go
@@ -8,9 +8,9 @@
 
 	"github.com/valyala/fastjson"
 
-	"sedgestream/internal/contract"
-	"sedgestream/internal/field"
-	"sedgestream/internal/list"
+	"sedgestream/internal/discovery"
+	"sedgestream/internal/jsonfield"
+	"sedgestream/internal/settings"
 )
 
 // Posting is what the router is told of its place: who it is, whom it speaks with, what it may use.
@@ -23,8 +23,8 @@
 	Cores                   float64
 	Memory                  int64 // bytes
 	Descriptors             int
-	Known                   list.List
-	Contract                *contract.Contract
+	Known                   discovery.Snapshot
+	Contract                *settings.Settings
 	Settings                map[string]string // the members that it was read from, as they stand in the file
 }
 
@@ -37,7 +37,7 @@
 
 // ReadPosting reads the configuration, and the environment where that lacks a value.
 func ReadPosting(env func(string) string) (p *Posting, err error) {
-	defer field.Catch(&err)
+	defer jsonfield.Catch(&err)
 	path := env("ROUTER_CONFIG")
 	if path == "" {
 		return nil, fmt.Errorf("ROUTER_CONFIG is not set")
@@ -51,14 +51,14 @@
 		return nil, fmt.Errorf("%s is not JSON: %w", path, err)
 	}
 	or := func(key, name string) string {
-		if s := field.Str(v, key, false); s != "" {
+		if s := jsonfield.Str(v, key, false); s != "" {
 			return s
 		}
 		return env(name)
 	}
 	p = &Posting{Name: or("name", "ROUTER_NAME"), Listen: or("listen", "ROUTER_LISTEN"),
-		Discovery: or("discovery", "ROUTER_DISCOVERY"), PeerListen: field.Str(v, "peer_listen", false),
-		PeersAll: field.Str(v, "peers_all", false), Cores: usualCores, Memory: usualMemory << 20,
+		Discovery: or("discovery", "ROUTER_DISCOVERY"), PeerListen: jsonfield.Str(v, "peer_listen", false),
+		PeersAll: jsonfield.Str(v, "peers_all", false), Cores: usualCores, Memory: usualMemory << 20,
 		Descriptors: usualDescriptors}
 	for _, a := range []struct{ what, address string }{{"listen", p.Listen}, {"discovery", p.Discovery},
 		{"peer_listen", p.PeerListen}} {
@@ -67,36 +67,36 @@
 		}
 		to, err := netip.ParseAddrPort(a.address)
 		if err != nil || !to.Addr().IsLoopback() {
-			field.Fail("%s: %q is no loopback address with a port", a.what, a.address)
+			jsonfield.Fail("%s: %q is no loopback address with a port", a.what, a.address)
 		}
 	}
-	for _, e := range field.Array(v, "peers", false) {
-		p.Peers = append(p.Peers, field.Text(e))
+	for _, e := range jsonfield.Array(v, "peers", false) {
+		p.Peers = append(p.Peers, jsonfield.Text(e))
 	}
-	if s := field.Str(v, "seed", false); s != "" {
+	if s := jsonfield.Str(v, "seed", false); s != "" {
 		if p.Seed, err = strconv.ParseUint(s, 16, 64); err != nil {
-			field.Fail("seed: %q is not hexadecimal", s)
+			jsonfield.Fail("seed: %q is not hexadecimal", s)
 		}
 	}
-	if limits := field.Any(v, "limits"); limits != nil {
-		p.Cores = field.Number(limits, "cores", p.Cores)
-		if mb := field.Number(limits, "memory_mb", 0); mb > 0 {
+	if limits := jsonfield.Any(v, "limits"); limits != nil {
+		p.Cores = jsonfield.Number(limits, "cores", p.Cores)
+		if mb := jsonfield.Number(limits, "memory_mb", 0); mb > 0 {
 			p.Memory = int64(mb * (1 << 20))
 		}
-		if n := field.Whole(limits, "sockets", false); n > 0 {
+		if n := jsonfield.Whole(limits, "sockets", false); n > 0 {
 			p.Descriptors = int(n)
 		}
 	}
-	if known := field.Any(v, "known"); known != nil {
-		if p.Known, err = list.Read(known); err != nil {
+	if known := jsonfield.Any(v, "known"); known != nil {
+		if p.Known, err = discovery.Read(known); err != nil {
 			return nil, fmt.Errorf("known: %w", err)
 		}
 	}
-	settings := field.Object(v, "settings")
-	p.Contract = contract.Read(settings)
-	p.Contract.ListOnAsking, p.Contract.ListTold = true, int64(list.Told) // on sockets the list always has to be asked for
-	p.Zone = field.Str(settings, "locality", false)
+	section := jsonfield.Object(v, "settings")
+	p.Contract = settings.Read(section)
+	p.Contract.ListOnAsking, p.Contract.ListTold = true, int64(discovery.ToldAfter) // on sockets the list always has to be asked for
+	p.Zone = jsonfield.Str(section, "locality", false)
 	p.Settings = map[string]string{}
-	settings.GetObject().Visit(func(key []byte, member *fastjson.Value) { p.Settings[string(key)] = member.String() })
+	section.GetObject().Visit(func(key []byte, member *fastjson.Value) { p.Settings[string(key)] = member.String() })
 	return p, nil
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -110,14 +110,14 @@
 	}
 }
 
-var lastID atomic.Int64 // each job has a new one
+var lastID atomic.Int64 // each request has a new one
 
 // View is a read whose client waits for so many milliseconds.
 func View(d int) string {
 	return fmt.Sprintf(`SELECT body FROM objects WHERE oid = '7f3a9c21e0b4d655' /* id=%016x,c=view,d=%d,cluster=2 */`, lastID.Add(1), d)
 }
 
-// Change is a write of a tariff.
+// Change is a write of a class.
 func Change(tariff string, d int) string {
 	return fmt.Sprintf(`INSERT INTO objects (oid, body) VALUES ('7f3a9c21e0b4d655', '\x9f03') RETURNING body /* id=%016x,c=%s,d=%d,k=5c0f,cluster=2 */`,
 		lastID.Add(1), tariff, d)
@@ -128,7 +128,7 @@
 	return strings.Replace(query, fmt.Sprintf("cluster=%d", usualGroup), fmt.Sprintf("cluster=%d", group), 1)
 }
 
-// Job is the id of a query.
+// Request is the id of a query.
 func Job(query string) string {
 	_, id, _ := strings.Cut(query, "id=")
 	id, _, _ = strings.Cut(id, ",")
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -47,7 +47,7 @@
 	silent atomic.Bool  // calls get no word, not even a head
 }
 
-// Contract is a small one with a tariff of each kind of repeat: view, order, once.
+// Settings is a small one with a class of each kind of repeat: view, order, once.
 const Contract = `{"me":0,"balancers":2,"tickUs":5000,"discovery":"push",
 "classes":[{"name":"view","aimUs":80000,"deadlineUs":30000000,"repeat":"pure","worth":1.0},
 {"name":"order","aimUs":80000,"deadlineUs":30000000,"repeat":"token","group":"cell","windowUs":30000000,"worth":3.0},
@@ -57,7 +57,7 @@
 "specifics":{"consistency":["eventual","mutate","mutate"],"reportX0":"position","reportX1":"role","serverChecks":"await",
 "tokenMode":"brought"}}`
 
-// Brisk is a contract for days of failure: short times, second copies, a fresh read (now) besides, nodes that are cold for some seconds.
+// Brisk is settings for days of failure: short times, second copies, a fresh read (now) besides, nodes that are cold for some seconds.
 var Brisk = strings.NewReplacer(`"deadlineUs":30000000`, `"deadlineUs":2000000`, `"windowUs":30000000`, `"windowUs":1200000`,
 	`"sendCap":3`, `"sendCap":4`, `"secondCopies":false`, `"secondCopies":true`, `"connectTimeoutUs":5000000`, `"connectTimeoutUs":100000`,
 	`{"name":"once"`, `{"name":"now","aimUs":80000,"deadlineUs":2000000,"repeat":"pure","worth":1.0},
--- a/internal/standin/node.go
+++ b/internal/standin/node.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// Node is a stand-in for a database node. Greet and Job are set before it is used, or within Count.
+// Node is a stand-in for a database node. Greet and Request are set before it is used, or within Count.
 type Node struct {
 	Listener net.Listener
 	Role     string
@@ -71,7 +71,7 @@
 // Ran is one statement that came to a node.
 type Ran struct {
 	ID   string
-	Wait time.Duration // that its trip was given
+	Wait time.Duration // that its attempt was given
 	At   time.Time     // when it came,
 	End  time.Time     // and when it was answered; zero: never
 }
@@ -106,7 +106,7 @@
 // Pair is a primary and a replica.
 func Pair(t Test) (primary, replica *Node) { return NewNode(t, "source"), NewNode(t, "copy") }
 
-// usualGroup is that of nodes and jobs where nothing else is said.
+// usualGroup is that of nodes and requests where nothing else is said.
 const usualGroup = 2
 
 var comment = regexp.MustCompile(`id=([^,]*),.*\bd=(\d+)`)
--- a/internal/standin/work.go
+++ b/internal/standin/work.go
@@ -11,12 +11,12 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// Works has a node work on its jobs as a machine does: so many at a time, the others wait in the order of their coming. What a
-// job takes goes by its id, exponentially around the mean, so that two runs with the same ids have the same work.
+// Works has a node work on its requests as a machine does: so many at a time, the others wait in the order of their coming. What a
+// request takes goes by its id, exponentially around the mean, so that two runs with the same ids have the same work.
 type Works struct {
 	Cores int           // 0: any number at a time
-	Mean  time.Duration // that a job takes
-	Said  bool          // reports tell how many jobs the node holds
+	Mean  time.Duration // that a request takes
+	Said  bool          // reports tell how many requests the node holds
 
 	mu       sync.Mutex
 	strength float64 // 1 is as the list says
@@ -27,7 +27,7 @@
 	queue    []chan struct{}
 }
 
-// longestWork bounds what one job takes, in means.
+// longestWork bounds what one request takes, in means.
 const longestWork = 5
 
 // Work has the node work so from now on.
@@ -48,7 +48,7 @@
 	return n
 }
 
-// Cores is how many jobs it works on at a time; 0: any number.
+// Cores is how many requests it works on at a time; 0: any number.
 func (n *Node) Cores() int {
 	if n.works == nil {
 		return 0
@@ -74,7 +74,7 @@
 	}
 }
 
-// Errs has the node answer each job by an error at once, or work again.
+// Errs has the node answer each request by an error at once, or work again.
 func (n *Node) Errs(on bool) {
 	if w := n.works; w != nil {
 		w.mu.Lock()
@@ -89,7 +89,7 @@
 	return w.errs
 }
 
-// do takes a job's time, once it is its turn.
+// do takes a request's time, once it is its turn.
 func (w *Works) do(q string) {
 	w.mu.Lock()
 	w.held++
--- a/internal/termsfile/termsfile.go
+++ b/internal/termsfile/termsfile.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"sedgestream/balance"
+	"sedgestream/internal/configfile"
 	"sedgestream/internal/decide/terms"
-	"sedgestream/internal/paper"
 )
 
 // Text is the schema as it is published.
@@ -22,7 +22,7 @@
 //go:embed terms.schema.json
 var Text []byte
 
-var schema = sync.OnceValue(func() *paper.Schema { return paper.NewSchema(Text) })
+var schema = sync.OnceValue(func() *configfile.Schema { return configfile.NewSchema(Text) })
 
 // Load reads the file at the path. An error is paper.Faults if the file could be read at all.
 func Load(path string, g *terms.Ground) (*terms.Book, error) {
@@ -32,7 +32,7 @@
 	}
 	defer f.Close()
 	text := make([]byte, 0, 16<<10)
-	for len(text) <= paper.MostBytes { // of a longer one no more than to see that it is
+	for len(text) <= configfile.MostBytes { // of a longer one no more than to see that it is
 		text = slices.Grow(text, 16<<10)
 		n, err := f.Read(text[len(text):cap(text)])
 		text = text[:len(text)+n]
@@ -45,7 +45,7 @@
 
 // Parse reads a file's text. All that is wrong is told at once.
 func Parse(name string, text []byte, g *terms.Ground) (*terms.Book, error) {
-	s := paper.Read(name, text)
+	s := configfile.Read(name, text)
 	if s.Value == nil {
 		return nil, s.Err()
 	}
@@ -55,7 +55,7 @@
 	s.Add(r.notes)
 	// The rules are held against what has a form; where a value has none it stands for nothing, which breaks no rule.
 	for _, f := range terms.Prove(&r.made, g) {
-		s.Add([]paper.Note{{At: f.At, Reason: f.Reason}})
+		s.Add([]configfile.Note{{At: f.At, Reason: f.Reason}})
 	}
 	if err := s.Err(); err != nil {
 		return nil, err
@@ -68,11 +68,11 @@
 	ground *terms.Ground
 	formal bool
 	made   terms.Draft
-	notes  []paper.Note
+	notes  []configfile.Note
 }
 
 func (r *reader) note(at, format string, args ...any) {
-	r.notes = append(r.notes, paper.Note{At: at, Reason: fmt.Sprintf(format, args...)})
+	r.notes = append(r.notes, configfile.Note{At: at, Reason: fmt.Sprintf(format, args...)})
 }
 
 func object(v any) map[string]any { m, _ := v.(map[string]any); return m }
@@ -184,7 +184,7 @@
 	again := object(v)
 	for _, e := range array(again["on"]) {
 		if k := slices.Index(terms.EndingNames[:], word(e)); k >= 0 && word(e) != "" {
-			c.On |= terms.Of(balance.Ending(k))
+			c.On |= terms.Of(balance.Outcome(k))
 		}
 	}
 	c.Base, c.Cap, c.Jitter = r.time(again["base"], where+"/base"), r.time(again["cap"], where+"/cap"), number(again["jitter"])
--- a/internal/termsfile/termsfile_test.go
+++ b/internal/termsfile/termsfile_test.go
@@ -11,17 +11,17 @@
 	"unicode/utf8"
 
 	"sedgestream/balance"
+	"sedgestream/internal/configfile"
 	"sedgestream/internal/decide/terms"
-	"sedgestream/internal/paper"
 )
 
 const ms = int64(time.Millisecond)
 
 func ground() *terms.Ground {
-	return &terms.Ground{Contract: &balance.Contract{MaxTrips: 4, SecondTrips: true, SessionsCarried: true, ConnectTimeout: 50 * ms,
-		LongestAbsence: 1000 * ms, Tariffs: []balance.Tariff{{ContractTime: 300 * ms},
-			{Need: balance.Write, Repeat: balance.Numbered, Circle: balance.OfZone, Window: 1200 * ms, ContractTime: 400 * ms},
-			{Need: balance.Write, Repeat: balance.AtMostOnce, ContractTime: 400 * ms}}},
+	return &terms.Ground{Contract: &balance.Settings{MaxAttempts: 4, SecondAttempts: true, SessionsCarried: true, ConnectTimeout: 50 * ms,
+		LongestAbsence: 1000 * ms, Classes: []balance.Class{{Target: 300 * ms},
+			{Need: balance.Write, Repeat: balance.Deduplicated, Scope: balance.OfZone, Window: 1200 * ms, Target: 400 * ms},
+			{Need: balance.Write, Repeat: balance.AtMostOnce, Target: 400 * ms}}},
 		Tariffs: []string{"view", "order", "once"}, Waits: []int64{1000 * ms, 2000 * ms, 2000 * ms}, Groups: map[int64]bool{1: true, 2: true}}
 }
 
@@ -119,7 +119,7 @@
 			column = strings.Index(before[strings.LastIndex(before, "\n")+1:], `{"quantile"`) + 1
 		}
 		b, err := Parse("terms.json", []byte(before+after), ground())
-		var fs paper.Faults
+		var fs configfile.Faults
 		if b != nil || !errors.As(err, &fs) {
 			t.Errorf("%s: taken", c.name)
 			continue
@@ -137,7 +137,7 @@
 func TestAllFaultsAtOnce(t *testing.T) {
 	text := strings.Replace(once(`"trips": 9, "copies": {"after": "60", "part": 2}, "budget": {}`), `"tariff": "view"`, `"tariff": "sight"`, 1)
 	_, err := Parse("f.json", []byte(text), ground())
-	var fs paper.Faults
+	var fs configfile.Faults
 	if !errors.As(err, &fs) || len(fs) != 5 {
 		t.Fatalf("%v", err)
 	}
@@ -159,7 +159,7 @@
 	f.Add(bytes.Repeat([]byte(`{"a":`), 100))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		b, err := Parse("f", text, ground())
-		var fs paper.Faults
+		var fs configfile.Faults
 		if (b == nil) == (err == nil) || err != nil && !errors.As(err, &fs) {
 			t.Fatal(b, err)
 		}
@@ -175,7 +175,7 @@
 		b.Explain(&j, 0)
 		if r := b.Find(&j); r != nil {
 			s := r.Enter(0, 1000*ms)
-			if s.Wait > 1000*ms || s.Terms.TripTime < 0 || s.Terms.CopyAfter < 0 {
+			if s.Wait > 1000*ms || s.Terms.AttemptTime < 0 || s.Terms.CopyAfter < 0 {
 				t.Fatalf("%+v", s)
 			}
 			s.Leave()
--- a/internal/tierfile/tierfile.go
+++ b/internal/tierfile/tierfile.go
@@ -9,7 +9,7 @@
 	"sync"
 	"time"
 
-	"sedgestream/internal/paper"
+	"sedgestream/internal/configfile"
 )
 
 // Text is the schema as it is published.
@@ -17,7 +17,7 @@
 //go:embed tier.schema.json
 var Text []byte
 
-var schema = sync.OnceValue(func() *paper.Schema { return paper.NewSchema(Text) })
+var schema = sync.OnceValue(func() *configfile.Schema { return configfile.NewSchema(Text) })
 
 // Tier is what such a file says.
 type Tier struct {
@@ -31,7 +31,7 @@
 	Seeds   []string
 	Probe   time.Duration
 	Forget  time.Duration
-	// Loads has routers that heed planners tell them of their trips, and go by what these add up over all.
+	// Loads has routers that follow planners tell them of their attempts, and go by what these add up over all.
 	Loads bool
 }
 
@@ -54,7 +54,7 @@
 	if err != nil {
 		return nil, err
 	}
-	s := paper.Read(path, text)
+	s := configfile.Read(path, text)
 	if s.Value == nil {
 		return nil, s.Err()
 	}
@@ -62,7 +62,7 @@
 	top, _ := s.Value.(map[string]any)
 	t := &Tier{Term: usualTerm, Connections: usualConnections, Planners: map[string]string{}}
 	t.Fleet, _ = top["fleet"].(string)
-	var notes []paper.Note
+	var notes []configfile.Note
 	span := func(key string, into *time.Duration) {
 		if text, ok := top[key].(string); ok {
 			if d, err := time.ParseDuration(text); err == nil {
@@ -74,10 +74,10 @@
 	t.Period = t.Term / periodsInTerm
 	span("period", &t.Period)
 	if t.Period < shortestPeriod {
-		notes = append(notes, paper.Note{At: "/period", Reason: fmt.Sprintf("%s is shorter than %s", t.Period, shortestPeriod)})
+		notes = append(notes, configfile.Note{At: "/period", Reason: fmt.Sprintf("%s is shorter than %s", t.Period, shortestPeriod)})
 	}
 	if t.Term < 4*t.Period || t.Term > longestTerm {
-		notes = append(notes, paper.Note{At: "/term", Reason: fmt.Sprintf("%s is not between four periods of %s and %s", t.Term, t.Period, longestTerm)})
+		notes = append(notes, configfile.Note{At: "/term", Reason: fmt.Sprintf("%s is not between four periods of %s and %s", t.Term, t.Period, longestTerm)})
 	}
 	if n, ok := top["connections"].(float64); ok {
 		t.Connections = int(n)
@@ -89,10 +89,10 @@
 		name, _ := m["name"].(string)
 		address, _ := m["address"].(string)
 		if _, twice := t.Planners[name]; twice {
-			notes = append(notes, paper.Note{At: fmt.Sprintf("/planners/%d/name", i), Reason: fmt.Sprintf("another planner is called %q too", name)})
+			notes = append(notes, configfile.Note{At: fmt.Sprintf("/planners/%d/name", i), Reason: fmt.Sprintf("another planner is called %q too", name)})
 		}
 		if _, _, err := net.SplitHostPort(address); err != nil && address != "" {
-			notes = append(notes, paper.Note{At: fmt.Sprintf("/planners/%d/address", i), Reason: fmt.Sprintf("%q is no address with a port", address)})
+			notes = append(notes, configfile.Note{At: fmt.Sprintf("/planners/%d/address", i), Reason: fmt.Sprintf("%q is no address with a port", address)})
 		}
 		t.Planners[name] = address
 	}
@@ -106,7 +106,7 @@
 		for i, v := range seeds {
 			seed, _ := v.(string)
 			if _, _, err := net.SplitHostPort(seed); err != nil && seed != "" {
-				notes = append(notes, paper.Note{At: fmt.Sprintf("/members/seeds/%d", i), Reason: fmt.Sprintf("%q is no address with a port", seed)})
+				notes = append(notes, configfile.Note{At: fmt.Sprintf("/members/seeds/%d", i), Reason: fmt.Sprintf("%q is no address with a port", seed)})
 			}
 			t.Seeds = append(t.Seeds, seed)
 		}
@@ -115,10 +115,10 @@
 		t.Seeds = append(t.Seeds, address)
 	}
 	if t.Probe < shortestPeriod || t.Probe > longestTerm {
-		notes = append(notes, paper.Note{At: "/members/period", Reason: fmt.Sprintf("%s is not between %s and %s", t.Probe, shortestPeriod, longestTerm)})
+		notes = append(notes, configfile.Note{At: "/members/period", Reason: fmt.Sprintf("%s is not between %s and %s", t.Probe, shortestPeriod, longestTerm)})
 	}
 	if t.Forget < leastForget*t.Probe {
-		notes = append(notes, paper.Note{At: "/members/forget", Reason: fmt.Sprintf("%s is shorter than %d probes of %s", t.Forget, leastForget, t.Probe)})
+		notes = append(notes, configfile.Note{At: "/members/forget", Reason: fmt.Sprintf("%s is shorter than %d probes of %s", t.Forget, leastForget, t.Probe)})
 	}
 	s.Add(notes)
 	if err := s.Err(); err != nil {
--- a/internal/trip/conn.go
+++ b/internal/upstream/conn.go
@@ -1,4 +1,4 @@
-package trip
+package upstream
 
 import (
 	"errors"
@@ -9,8 +9,8 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/job"
 	"sedgestream/internal/pg"
+	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
 )
 
@@ -23,57 +23,57 @@
 	sock    net.Conn
 	in, out *ring.Ring
 	since   time.Time // since when it is idle
-	carries *order    // whose ending is not told yet
+	current *delivery // whose ending is not told yet
 
 	// Under the lock of nodes.
-	order     *order
+	next      *delivery
 	retired   bool // to be closed
 	uncounted bool
 }
 
-func (c *conn) poke() { c.sock.SetReadDeadline(ring.Past) }
+func (c *conn) wake() { c.sock.SetReadDeadline(ring.Past) }
 
-// glance is how long an answer may take to be read that was there in time. It is far under what is kept for the ways to clients.
-const glance = time.Millisecond
+// lastReadTimeout is how long an answer may take to be read that was there in time. It is far under what is kept for the ways to clients.
+const lastReadTimeout = time.Millisecond
 
-// live opens the connection and carries one order after the other.
-func (c *conn) live(o *order) {
+// serve opens the connection and carries one order after the other.
+func (c *conn) serve(o *delivery) {
 	defer func() {
 		if p := recover(); p != nil {
 			c.nodes.log.Error("a node connection's task failed", zap.Any("panic", p), zap.Stack("stack"))
 		}
-		if c.ended(); c.carries != nil {
-			c.finish(c.carries, balance.Broken, &pg.Answer{})
+		if c.ended(); c.current != nil {
+			c.finish(c.current, balance.Broken, &pg.Answer{})
 		}
 	}()
-	c.carries = o
+	c.current = o
 	if o.isOff() {
-		c.finish(o, balance.Moot, &pg.Answer{})
+		c.finish(o, balance.NotSent, &pg.Answer{})
 		return
 	}
 	up := o.sent.Add(time.Duration(c.nodes.connect.Load()))
 	if o.until.Before(up) {
 		up = o.until
 	}
-	if !c.comeUp(o, up) {
+	if !c.connect(o, up) {
 		c.close()
 		c.finish(o, c.unsent(o), &pg.Answer{})
 		return
 	}
 	if c.hasMoved() {
 		c.close()
-		c.carries = nil
+		c.current = nil
 		c.nodes.start(o, true)
 		return
 	}
 	if o.begins != nil && !o.begins() { // while the connection came up its node has left, or data or a window have aged
-		o.Recall()
+		o.Withdraw()
 	}
 	for o != nil {
-		if !c.carry(o) {
+		if !c.deliver(o) {
 			return
 		}
-		if o = c.wait(); o != nil && c.stale(o) {
+		if o = c.wait(); o != nil && c.handOver(o) {
 			return
 		}
 	}
@@ -86,10 +86,10 @@
 	return c.address != c.node.address
 }
 
-// unsent is the ending of a trip whose last byte was never written.
-func (c *conn) unsent(o *order) balance.Ending {
-	if o.isRevoked() {
-		return balance.Moot
+// unsent is the ending of an attempt whose last byte was never written.
+func (c *conn) unsent(o *delivery) balance.Outcome {
+	if o.isCanceled() {
+		return balance.NotSent
 	}
 	return balance.Unreachable
 }
@@ -112,7 +112,7 @@
 	c.nodes.mu.Unlock()
 }
 
-func (c *conn) comeUp(o *order, until time.Time) bool {
+func (c *conn) connect(o *delivery, until time.Time) bool {
 	sock, err := c.nodes.dial(c.address, until)
 	if err != nil {
 		return false
@@ -152,49 +152,49 @@
 	return err
 }
 
-// carry sends an order and waits for its answer. It tells whether the connection can be used again; if not,
+// deliver sends an order and waits for its answer. It tells whether the connection can be used again; if not,
 // it is closed before the ending is told.
-func (c *conn) carry(o *order) bool {
-	c.carries = o
+func (c *conn) deliver(o *delivery) bool {
+	c.current = o
 	ending, answer := c.exchange(o)
 	// Nothing is on the way over it, unless more has come than belongs to the answer: what came behind must never
-	// answer the next job.
-	if (answer.Whole || ending == balance.Moot) && c.in.Len() == 0 {
+	// answer the next request.
+	if (answer.Whole || ending == balance.NotSent) && c.in.Len() == 0 {
 		c.finish(o, ending, answer)
 		return true
 	}
 	c.close()
 	switch {
 	case ending == balance.Unreachable && o.isOff():
-		ending = balance.Moot
-	case o.isRevoked() && ending > balance.Moot && !answer.Whole:
-		ending = balance.Revoked
+		ending = balance.NotSent
+	case o.isCanceled() && ending > balance.NotSent && !answer.Whole:
+		ending = balance.Canceled
 	}
 	c.finish(o, ending, answer)
 	return false
 }
 
-func (c *conn) finish(o *order, ending balance.Ending, a *pg.Answer) {
-	c.carries = nil
+func (c *conn) finish(o *delivery, ending balance.Outcome, a *pg.Answer) {
+	c.current = nil
 	o.carriedBy(nil, time.Time{})
-	e := job.End{Ending: ending, Note: a.Note, Report: a.Report, Value: a.Value}
-	if o.statement == nil && ending == balance.Done {
+	e := request.Result{Outcome: ending, Note: a.Note, Report: a.Report, Value: a.Value}
+	if o.statement == nil && ending == balance.Succeeded {
 		e.Report = a.Vitals()
 	}
-	o.end(e)
+	o.finish(e)
 }
 
 // exchange is one query and its answer. What is left at its end stands in no doubt only if the answer is
 // whole.
-func (c *conn) exchange(o *order) (balance.Ending, *pg.Answer) {
+func (c *conn) exchange(o *delivery) (balance.Outcome, *pg.Answer) {
 	a := &pg.Answer{}
-	if !time.Now().Before(o.until) || !o.leaves(c.sock) {
-		return balance.Moot, a
+	if !time.Now().Before(o.until) || !o.beginWrite(c.sock) {
+		return balance.NotSent, a
 	}
 	if err := c.send(o); err != nil {
 		return balance.Unreachable, a // the last byte was never written
 	}
-	o.wrote(c.sock)
+	o.wroteAll(c.sock)
 	for looked := false; ; {
 		kind, body, size, err := pg.Message(c.in)
 		switch {
@@ -210,9 +210,9 @@
 		switch {
 		case err == nil:
 			continue
-		case errors.Is(err, os.ErrDeadlineExceeded) && !looked && !o.isRevoked() && ring.Pending(c.sock):
+		case errors.Is(err, os.ErrDeadlineExceeded) && !looked && !o.isCanceled() && ring.Pending(c.sock):
 			looked = true // what has come by then counts: a read that a deadline wakes has not looked
-			c.sock.SetReadDeadline(time.Now().Add(glance))
+			c.sock.SetReadDeadline(time.Now().Add(lastReadTimeout))
 			continue
 		case errors.Is(err, pg.ErrMalformed):
 			c.nodes.log.Warn("a node answered nonsense", zap.String("node", c.node.name))
@@ -226,7 +226,7 @@
 }
 
 // send writes the whole query, or fails. A long one goes straight from where it is.
-func (c *conn) send(o *order) error {
+func (c *conn) send(o *delivery) error {
 	if o.statement == nil {
 		c.out.Write(pg.AppendVitals(nil))
 		return c.out.Flush(c.sock)
@@ -243,7 +243,7 @@
 }
 
 // wait keeps the connection among the idle ones until there is an order for it, or it ends: nil.
-func (c *conn) wait() *order {
+func (c *conn) wait() *delivery {
 	s := c.nodes
 	c.since = time.Now()
 	c.sock.SetDeadline(c.since.Add(time.Duration(s.idle.Load())))
@@ -264,8 +264,8 @@
 	unclean := !errors.Is(err, os.ErrDeadlineExceeded) || c.in.Len() > 0 || ring.Pending(c.sock)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	o := c.order
-	if c.order = nil; o != nil {
+	o := c.next
+	if c.next = nil; o != nil {
 		c.retired = c.retired || unclean // it ended just as it got the order
 		return o
 	}
@@ -292,8 +292,8 @@
 	}
 }
 
-// stale passes an order on of which nothing has been written, from a connection that has ended.
-func (c *conn) stale(o *order) bool {
+// handOver passes an order on of which nothing has been written, from a connection that has ended.
+func (c *conn) handOver(o *delivery) bool {
 	c.nodes.mu.Lock()
 	retired := c.retired
 	c.nodes.mu.Unlock()
@@ -302,7 +302,7 @@
 	}
 	c.close()
 	if o.isOff() { // nobody waits for it any more: no connection is opened for it
-		c.finish(o, balance.Moot, &pg.Answer{})
+		c.finish(o, balance.NotSent, &pg.Answer{})
 	} else {
 		c.nodes.start(o, true)
 	}
--- a/internal/trip/moments_test.go
+++ b/internal/upstream/moments_test.go
@@ -1,4 +1,4 @@
-package trip
+package upstream
 
 import (
 	"io"
@@ -12,13 +12,13 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/job"
 	"sedgestream/internal/pg"
+	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
 	"sedgestream/internal/standin"
 )
 
-// statement is a job's, as a client sent it.
+// statement is a request's, as a client sent it.
 func statement(t *testing.T) *pg.Statement {
 	t.Helper()
 	s, err := pg.ReadStatement([]byte(standin.Change("once", 20000)))
@@ -30,25 +30,25 @@
 
 // among are nodes with this one as the only.
 func among(n *standin.Node) *Nodes {
-	s := New(&balance.Contract{ConnectTimeout: int64(standin.Patience), KeepAlive: int64(standin.Patience)}, Limits{Connections: 9}, zap.NewNop())
+	s := New(&balance.Settings{ConnectTimeout: int64(standin.Patience), KeepAlive: int64(standin.Patience)}, Limits{Connections: 9}, zap.NewNop())
 	s.Reach(0, "s-0", n.Listener.Addr().String())
 	return s
 }
 
 // send starts an order and tells where its end comes.
-func (s *Nodes) send(t *testing.T, until time.Duration) (*order, chan job.End) {
-	ends := make(chan job.End, 1)
-	o := &order{statement: statement(t), until: time.Now().Add(until), sent: time.Now(), back: func(e job.End) { ends <- e }}
+func (s *Nodes) send(t *testing.T, until time.Duration) (*delivery, chan request.Result) {
+	ends := make(chan request.Result, 1)
+	o := &delivery{statement: statement(t), until: time.Now().Add(until), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 	s.start(o, false)
 	return o, ends
 }
 
-func ended(t *testing.T, ends chan job.End, want balance.Ending, within time.Duration) {
+func ended(t *testing.T, ends chan request.Result, want balance.Outcome, within time.Duration) {
 	t.Helper()
 	select {
 	case e := <-ends:
-		if e.Ending != want {
-			t.Errorf("ended as %v, want %v", e.Ending, want)
+		if e.Outcome != want {
+			t.Errorf("ended as %v, want %v", e.Outcome, want)
 		}
 	case <-time.After(within):
 		t.Errorf("no ending within %v", within)
@@ -69,7 +69,7 @@
 	return c.TCPConn.SetDeadline(at)
 }
 
-// A trip that is revoked just as it gets its connection ends then, and not with its time: the check and the deadline are one
+// An attempt that is canceled just as it gets its connection ends then, and not with its time: the check and the deadline are one
 // step.
 func TestRevokedBetweenCheckAndDeadline(t *testing.T) {
 	n := standin.NewNode(t, "source")
@@ -90,12 +90,12 @@
 		}
 	}
 	s := among(n)
-	ends := make(chan job.End, 1)
-	o := &order{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e }}
+	ends := make(chan request.Result, 1)
+	o := &delivery{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 	revoked := make(chan struct{})
 	sock := &crossed{near.(*net.TCPConn), func() {
 		go func() {
-			o.Revoke()
+			o.Cancel()
 			close(revoked)
 		}()
 		select { // it gets in between, or has to wait until the deadline is set
@@ -105,7 +105,7 @@
 	}}
 	c := &conn{nodes: s, node: s.nodes[0], address: s.nodes[0].address, sock: sock,
 		in: ring.New(ring.First, ring.First, nil), out: ring.New(ring.First, ring.First, nil)}
-	go c.carry(o)
+	go c.deliver(o)
 	select {
 	case <-ends:
 	case <-time.After(5 * time.Second):
@@ -115,7 +115,7 @@
 	<-revoked
 }
 
-// What is recalled while its connection comes up is never sent, and the connection serves the next.
+// What is withdrawn while its connection comes up is never sent, and the connection serves the next.
 func TestRecalledWhileComingUp(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	greeted, let := make(chan struct{}, 9), make(chan struct{})
@@ -123,15 +123,15 @@
 	s := among(n)
 	o, ends := s.send(t, standin.Patience)
 	<-greeted
-	o.Recall()
+	o.Withdraw()
 	close(let)
-	ended(t, ends, balance.Moot, 5*time.Second)
+	ended(t, ends, balance.NotSent, 5*time.Second)
 	standin.Until(t, "the connection to be idle", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.nodes[0].idle) == 1 })
 	if jobs := n.Got(); len(jobs) != 0 {
 		t.Fatalf("the node got %q", jobs)
 	}
 	_, ends = s.send(t, standin.Patience)
-	ended(t, ends, balance.Done, 5*time.Second)
+	ended(t, ends, balance.Succeeded, 5*time.Second)
 	n.Count(func() {
 		if n.Sessions != 1 {
 			t.Errorf("%d connections, want one", n.Sessions)
@@ -139,7 +139,7 @@
 	})
 }
 
-// A recall changes nothing for what is under way.
+// A withdrawal changes nothing for what is under way.
 func TestRecalledUnderWay(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	let := make(chan struct{})
@@ -147,9 +147,9 @@
 	s := among(n)
 	o, ends := s.send(t, standin.Patience)
 	standin.Until(t, "the job at the node", func() bool { return len(n.Got()) == 1 })
-	o.Recall()
+	o.Withdraw()
 	close(let)
-	ended(t, ends, balance.Done, 5*time.Second)
+	ended(t, ends, balance.Succeeded, 5*time.Second)
 }
 
 // An order that is handed to a connection which has just ended goes over a new one, unless nobody waits for it any more; nor
@@ -171,23 +171,23 @@
 			c.Close()
 		}
 	}()
-	for _, off := range []func(*order){func(*order) {}, (*order).Recall, (*order).Revoke} {
-		s := New(&balance.Contract{ConnectTimeout: int64(time.Second)}, Limits{Connections: 9}, zap.NewNop())
+	for _, off := range []func(*delivery){func(*delivery) {}, (*delivery).Withdraw, (*delivery).Cancel} {
+		s := New(&balance.Settings{ConnectTimeout: int64(time.Second)}, Limits{Connections: 9}, zap.NewNop())
 		s.Reach(0, "s-0", l.Addr().String())
-		ends := make(chan job.End, 1)
-		o := &order{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e }}
+		ends := make(chan request.Result, 1)
+		o := &delivery{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 		before := dialed.Load()
 		off(o)
 		c := &conn{nodes: s, node: s.nodes[0], retired: true, in: ring.New(ring.First, ring.First, nil)}
-		if !c.stale(o) {
+		if !c.handOver(o) {
 			t.Fatal("the connection is not stale")
 		}
-		want, dials := balance.Moot, int32(0)
+		want, dials := balance.NotSent, int32(0)
 		if !o.isOff() {
 			want, dials = balance.Unreachable, 1
 		}
 		ended(t, ends, want, 5*time.Second)
-		o2 := &order{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e }}
+		o2 := &delivery{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 		off(o2)
 		s.start(o2, true)
 		ended(t, ends, want, 5*time.Second)
@@ -207,7 +207,7 @@
 	<-greeted
 	s.Reach(0, "s-0", is.Listener.Addr().String())
 	close(let)
-	ended(t, ends, balance.Done, 5*time.Second)
+	ended(t, ends, balance.Succeeded, 5*time.Second)
 	if a, b := len(was.Got()), len(is.Got()); a != 0 || b != 1 {
 		t.Errorf("%d orders went where the node was, %d where it is", a, b)
 	}
@@ -218,17 +218,17 @@
 func TestMayNotBeginAnyMore(t *testing.T) {
 	n := standin.NewNode(t, "source")
 	s := among(n)
-	ends := make(chan job.End, 1)
-	o := &order{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e },
+	ends := make(chan request.Result, 1)
+	o := &delivery{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e },
 		begins: func() bool { return false }}
 	s.start(o, false)
-	ended(t, ends, balance.Moot, 5*time.Second)
+	ended(t, ends, balance.NotSent, 5*time.Second)
 	standin.Until(t, "the connection to be idle", func() bool { s.mu.Lock(); defer s.mu.Unlock(); return len(s.nodes[0].idle) == 1 })
 	if jobs := n.Got(); len(jobs) != 0 {
 		t.Fatalf("the node got %q", jobs)
 	}
 	_, ends = s.send(t, standin.Patience)
-	ended(t, ends, balance.Done, 5*time.Second)
+	ended(t, ends, balance.Succeeded, 5*time.Second)
 }
 
 // A long order that is being written to a node which does not read ends as never sent when its client leaves: else its last byte
@@ -252,27 +252,27 @@
 		b.Flush()
 		come <- c
 	}()
-	s := New(&balance.Contract{ConnectTimeout: int64(standin.Patience), KeepAlive: int64(standin.Patience)}, Limits{Connections: 9}, zap.NewNop())
+	s := New(&balance.Settings{ConnectTimeout: int64(standin.Patience), KeepAlive: int64(standin.Patience)}, Limits{Connections: 9}, zap.NewNop())
 	s.Reach(0, "s-0", l.Addr().String())
 	query := strings.Replace(standin.Change("once", 20000), `\x9f03`, `\x`+strings.Repeat("ab", 8<<20), 1)
 	long, err := pg.ReadStatement([]byte(query))
 	if err != nil {
 		t.Fatal(err)
 	}
-	ends := make(chan job.End, 1)
-	o := &order{statement: long, until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e }}
+	ends := make(chan request.Result, 1)
+	o := &delivery{statement: long, until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 	s.start(o, false)
 	far := <-come
 	defer far.Close()
 	far.Read(make([]byte, 1)) // its writing has begun
-	o.Recall()
-	ended(t, ends, balance.Moot, 5*time.Second)
+	o.Withdraw()
+	ended(t, ends, balance.NotSent, 5*time.Second)
 	if n, _ := io.Copy(io.Discard, far); n >= int64(len(query)) {
 		t.Errorf("%d bytes of %d were sent all the same", n, len(query))
 	}
 }
 
-// An answer that has come by the end of its trip's time counts, though the deadline wakes the read before it has looked.
+// An answer that has come by the end of its attempt's time counts, though the deadline wakes the read before it has looked.
 func TestAnswerAsItsTimeEnds(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -291,7 +291,7 @@
 	n := standin.NewNode(t, "source") // only to be named
 	s := among(n)
 	for _, there := range []bool{true, false} {
-		o := &order{statement: statement(t), until: time.Now().Add(50 * time.Millisecond), sent: time.Now()}
+		o := &delivery{statement: statement(t), until: time.Now().Add(50 * time.Millisecond), sent: time.Now()}
 		c := &conn{nodes: s, node: s.nodes[0], address: s.nodes[0].address, in: ring.New(ring.First, ring.First, nil), out: ring.New(ring.First, ring.First, nil)}
 		c.sock = &asleep{near.(*net.TCPConn), func() {
 			if there {
@@ -303,7 +303,7 @@
 		}}
 		want := balance.TimedOut
 		if there {
-			want = balance.Done
+			want = balance.Succeeded
 		}
 		if ending, _ := c.exchange(o); ending != want {
 			t.Errorf("an answer is there: %v, and the trip ends as %v", there, ending)
@@ -325,18 +325,18 @@
 	return a.TCPConn.Read(p)
 }
 
-// A recall that comes as the order's writing has failed, and its connection is gone, changes nothing.
+// A withdrawal that comes as the order's writing has failed, and its connection is gone, changes nothing.
 func TestRecalledAfterItsWritingFailed(t *testing.T) {
 	s := among(standin.NewNode(t, "source"))
 	near, far := net.Pipe()
 	far.Close() // nothing can be written
-	ends := make(chan job.End, 1)
-	o := &order{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e job.End) { ends <- e }}
+	ends := make(chan request.Result, 1)
+	o := &delivery{statement: statement(t), until: time.Now().Add(standin.Patience), sent: time.Now(), back: func(e request.Result) { ends <- e }}
 	c := &conn{nodes: s, node: s.nodes[0], sock: near, in: ring.New(ring.First, ring.First, nil), out: ring.New(ring.First, ring.First, nil)}
-	if c.carry(o) {
+	if c.deliver(o) {
 		t.Error("a broken connection is kept")
 	}
 	ended(t, ends, balance.Unreachable, 5*time.Second)
-	o.Recall()
-	o.Revoke()
+	o.Withdraw()
+	o.Cancel()
 }
--- a/internal/trip/nodes.go
+++ b/internal/upstream/nodes.go
@@ -1,6 +1,6 @@
-// Package trip carries trips and probes to nodes: it keeps the connections, and tells how each trip ended.
+// Package attempt carries attempts and probes to nodes: it keeps the connections, and tells how each attempt ended.
 // Where to, when and for how long is told to it.
-package trip
+package upstream
 
 import (
 	"context"
@@ -12,18 +12,18 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/desk"
-	"sedgestream/internal/job"
+	"sedgestream/internal/dispatch"
 	"sedgestream/internal/pg"
+	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
 )
 
 // Nodes are all nodes that the list has named, with the connections to them.
 type Nodes struct {
-	Desk   *desk.Desk
-	log    *zap.Logger
-	budget *ring.Budget
-	// From the contract, in nanoseconds: how long a connection may take to come up, and how long one stays idle.
+	Dispatcher *dispatch.Dispatcher
+	log        *zap.Logger
+	budget     *ring.Budget
+	// From the settings, in nanoseconds: how long a connection may take to come up, and how long one stays idle.
 	connect, idle atomic.Int64
 	dialer        net.Dialer
 
@@ -45,19 +45,19 @@
 }
 
 // New knows no node yet.
-func New(c *balance.Contract, l Limits, log *zap.Logger) *Nodes {
+func New(c *balance.Settings, l Limits, log *zap.Logger) *Nodes {
 	s := &Nodes{log: log, budget: l.Budget, most: l.Connections}
-	s.Heed(c)
+	s.Configure(c)
 	return s
 }
 
-// Heed has connections keep to a contract from now on.
-func (s *Nodes) Heed(c *balance.Contract) {
+// Apply has connections keep to settings from now on.
+func (s *Nodes) Configure(c *balance.Settings) {
 	s.connect.Store(c.ConnectTimeout)
 	s.idle.Store(max(c.KeepAlive-2*c.ConnectTimeout, c.KeepAlive/2)) // closed here before the node would close it
 }
 
-// Reach implements desk.Nodes. A node may move under the same name; what is idle at its old address ends.
+// Reach implements dispatcher.Nodes. A node may move under the same name; what is idle at its old address ends.
 func (s *Nodes) Reach(n int, name, address string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -74,7 +74,7 @@
 	m.name, m.address = name, address
 }
 
-// Drop implements desk.Nodes. A connection that is still busy ends once it is not.
+// Drop implements dispatcher.Nodes. A connection that is still busy ends once it is not.
 func (s *Nodes) Drop(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -94,37 +94,37 @@
 func (m *node) closeIdle() {
 	for _, c := range m.idle {
 		c.retired = true
-		c.poke()
+		c.wake()
 	}
 	m.idle = nil
 }
 
-// order is a trip or a probe on its way.
-type order struct {
+// delivery is an attempt or a probe on its way.
+type delivery struct {
 	node      int
 	statement *pg.Statement // nil for a probe
 	until     time.Time
 	begins    func() bool // once it has waited: whether it may still begin
-	back      func(job.End)
+	back      func(request.Result)
 
-	mu       sync.Mutex
-	sent     time.Time // when it was handed over
-	revoked  bool
-	recalled bool
-	left     bool     // its writing has begun
-	written  bool     // and its last byte is written
-	sock     net.Conn // that carries it
+	mu        sync.Mutex
+	sent      time.Time // when it was handed over
+	canceled  bool
+	withdrawn bool
+	writing   bool     // its writing has begun
+	written   bool     // and its last byte is written
+	sock      net.Conn // that carries it
 }
 
-// Cargo is a client's statement with the way to send it.
-type Cargo struct {
+// Sender is a client's statement with the way to send it.
+type Sender struct {
 	Nodes     *Nodes
 	Statement *pg.Statement
 }
 
-// Send implements job.Sender.
-func (c Cargo) Send(n int, until int64, begins func() bool, back func(job.End)) job.Trip {
-	o := &order{node: n, statement: c.Statement, until: c.Nodes.Desk.Time(until), begins: begins, back: back, sent: time.Now()}
+// Send implements request.Sender.
+func (c Sender) Send(n int, until int64, begins func() bool, back func(request.Result)) request.Attempt {
+	o := &delivery{node: n, statement: c.Statement, until: c.Nodes.Dispatcher.Time(until), begins: begins, back: back, sent: time.Now()}
 	c.Nodes.start(o, false)
 	return o
 }
@@ -133,27 +133,27 @@
 // connection and one for the answer.
 func (s *Nodes) Probe(n int) {
 	now := time.Now()
-	s.start(&order{node: n, until: now.Add(2 * time.Duration(s.connect.Load())), sent: now,
-		begins: func() bool { return s.Desk.Admits(n) },
-		back:   func(e job.End) { s.Desk.Probed(n, e.Ending == balance.Done, e.Report) }}, false)
+	s.start(&delivery{node: n, until: now.Add(2 * time.Duration(s.connect.Load())), sent: now,
+		begins: func() bool { return s.Dispatcher.Admits(n) },
+		back:   func(e request.Result) { s.Dispatcher.Probed(n, e.Outcome == balance.Succeeded, e.Report) }}, false)
 }
 
 // start hands an order to the idle connection used last, or to a new one.
-func (s *Nodes) start(o *order, fresh bool) {
+func (s *Nodes) start(o *delivery, fresh bool) {
 	s.mu.Lock()
 	m := s.nodes[o.node]
 	if k := len(m.idle); k > 0 && !fresh {
 		c := m.idle[k-1]
 		m.idle = m.idle[:k-1]
-		c.order = o
-		c.poke() // under the lock, so that it wakes no later read
+		c.next = o
+		c.wake() // under the lock, so that it wakes no later read
 		s.mu.Unlock()
 		return
 	}
 	if s.open >= s.most && !s.closeOldest() {
 		s.mu.Unlock()
 		s.log.Warn("no connection left for a trip", zap.String("node", m.name))
-		o.end(job.End{Ending: balance.Moot}) // never sent
+		o.finish(request.Result{Outcome: balance.NotSent}) // never sent
 		return
 	}
 	s.open++
@@ -161,7 +161,7 @@
 	s.mu.Unlock()
 	c := &conn{nodes: s, node: m, address: address, in: ring.New(ring.First, pg.MostMessage, s.budget),
 		out: ring.New(ring.First, pg.MostMessage, s.budget)}
-	go c.live(o)
+	go c.serve(o)
 }
 
 // closeOldest makes room by the idle connection that has been idle longest.
@@ -178,7 +178,7 @@
 	c := at.idle[0]
 	at.idle = at.idle[1:]
 	c.retired = true
-	c.poke()
+	c.wake()
 	s.open-- // counted as closed from now on
 	c.uncounted = true
 	return true
@@ -193,72 +193,72 @@
 	}
 }
 
-func (o *order) end(e job.End) {
+func (o *delivery) finish(e request.Result) {
 	e.Took = int64(time.Since(o.sent))
 	o.back(e)
 }
 
-// carriedBy names the connection that carries the order, which has until then for that, unless the order has been revoked. It
-// is one step: guards against a Revoke whose wake a later deadline would set aside.
-func (o *order) carriedBy(sock net.Conn, until time.Time) bool {
+// carriedBy names the connection that carries the order, which has until then for that, unless the order has been canceled. It
+// is one step: guards against a Cancel whose wake a later deadline would override.
+func (o *delivery) carriedBy(sock net.Conn, until time.Time) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.sock = sock; sock != nil && !o.revoked {
+	if o.sock = sock; sock != nil && !o.canceled {
 		sock.SetDeadline(until)
 	}
-	return !o.revoked
+	return !o.canceled
 }
 
-// leaves has the order be written from now on, unless it has been revoked or recalled.
-func (o *order) leaves(sock net.Conn) bool {
+// beginWrite has the order be written from now on, unless it has been canceled or withdrawn.
+func (o *delivery) beginWrite(sock net.Conn) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.sock = sock; o.revoked || o.recalled {
+	if o.sock = sock; o.canceled || o.withdrawn {
 		return false
 	}
-	o.left = true
+	o.writing = true
 	sock.SetDeadline(o.until)
 	return true
 }
 
-func (o *order) isRevoked() bool {
+func (o *delivery) isCanceled() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.revoked
+	return o.canceled
 }
 
 // isOff tells whether the order is not to be written any more.
-func (o *order) isOff() bool {
+func (o *delivery) isOff() bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	return o.revoked || o.recalled
+	return o.canceled || o.withdrawn
 }
 
-// wrote has the order wait for its answer: its last byte is written, and a recall comes too late.
-func (o *order) wrote(sock net.Conn) {
+// wroteAll has the order wait for its answer: its last byte is written, and a withdrawal comes too late.
+func (o *delivery) wroteAll(sock net.Conn) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.written = true; o.recalled && !o.revoked {
-		o.recalled = false
+	if o.written = true; o.withdrawn && !o.canceled {
+		o.withdrawn = false
 		sock.SetDeadline(o.until)
 	}
 }
 
-// Recall implements job.Trip. A connection that comes up for the order goes on to do so, for others; one that writes it, to a
+// Withdraw implements request.Trip. A connection that comes up for the order goes on to do so, for others; one that writes it, to a
 // node that does not read, ends.
-func (o *order) Recall() {
+func (o *delivery) Withdraw() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.recalled = !o.written; o.recalled && o.left && o.sock != nil { // it may have ended meanwhile
+	if o.withdrawn = !o.written; o.withdrawn && o.writing && o.sock != nil { // it may have ended meanwhile
 		o.sock.SetDeadline(ring.Past)
 	}
 }
 
-// Revoke implements job.Trip.
-func (o *order) Revoke() {
+// Cancel implements request.Trip.
+func (o *delivery) Cancel() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	if o.revoked = true; o.sock != nil {
+	if o.canceled = true; o.sock != nil {
 		o.sock.SetDeadline(ring.Past)
 	}
 }
--- a/internal/trip/nodes_test.go
+++ b/internal/upstream/nodes_test.go
@@ -1,4 +1,4 @@
-package trip
+package upstream
 
 import (
 	"net"
@@ -9,14 +9,14 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
-	"sedgestream/internal/job"
+	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
 )
 
 // A node that leaves the list without an address keeps the one it had: what is out there may still need it, and
 // it may come back.
 func TestLeavesWithoutAddress(t *testing.T) {
-	s := New(&balance.Contract{}, Limits{}, zap.NewNop())
+	s := New(&balance.Settings{}, Limits{}, zap.NewNop())
 	for _, address := range []string{"127.0.0.1:1", "", "127.0.0.1:2", ""} {
 		s.Reach(0, "a", address)
 		if address != "" && s.nodes[0].address != address || s.nodes[0].address == "" {
@@ -25,13 +25,13 @@
 	}
 }
 
-// With no connection left, and none idle, a trip ends as never sent.
+// With no connection left, and none idle, an attempt ends as never sent.
 func TestNoConnectionLeft(t *testing.T) {
-	s := New(&balance.Contract{}, Limits{Connections: 0}, zap.NewNop())
+	s := New(&balance.Settings{}, Limits{Connections: 0}, zap.NewNop())
 	s.Reach(0, "a", "127.0.0.1:1")
-	var ends []job.End
-	s.start(&order{node: 0, back: func(e job.End) { ends = append(ends, e) }}, false)
-	if len(ends) != 1 || ends[0].Ending != balance.Moot {
+	var ends []request.Result
+	s.start(&delivery{node: 0, back: func(e request.Result) { ends = append(ends, e) }}, false)
+	if len(ends) != 1 || ends[0].Outcome != balance.NotSent {
 		t.Errorf("%+v", ends)
 	}
 }
@@ -41,7 +41,7 @@
 
 func (deaf) Read([]byte) (int, error) { return 0, os.ErrDeadlineExceeded }
 
-// What a node sends behind a whole answer never answers the next job: an order that finds more on its connection goes
+// What a node sends behind a whole answer never answers the next request: an order that finds more on its connection goes
 // over another one.
 func TestMoreThanBelongs(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	defer far.Close()
-	s := New(&balance.Contract{}, Limits{Connections: 1}, zap.NewNop())
+	s := New(&balance.Settings{}, Limits{Connections: 1}, zap.NewNop())
 	s.Reach(0, "a", l.Addr().String())
 	c := &conn{nodes: s, node: s.nodes[0], address: l.Addr().String(), sock: deaf{near.(*net.TCPConn)},
 		in: ring.New(ring.First, ring.First, nil)}
@@ -70,15 +70,15 @@
 				time.Sleep(time.Millisecond)
 			}
 		}
-		o := &order{}
-		c.order = o
+		o := &delivery{}
+		c.next = o
 		if got := c.wait(); got != o || c.retired != more {
 			t.Errorf("more than belongs: %v, order kept: %v, connection retired: %v", more, got == o, c.retired)
 		}
 	}
 	l.Close()
 	c.in.Write([]byte("noise"))
-	if c.carry(&order{until: time.Now(), back: func(job.End) {}}) {
+	if c.deliver(&delivery{until: time.Now(), back: func(request.Result) {}}) {
 		t.Error("a connection with noise in its buffer was kept")
 	}
 }
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -9,8 +9,8 @@
 	"github.com/valyala/fastjson"
 
 	"sedgestream/balance"
-	"sedgestream/internal/contract"
-	"sedgestream/internal/field"
+	"sedgestream/internal/jsonfield"
+	"sedgestream/internal/settings"
 )
 
 // host is one router with the door before it: outside it ids and names, inside small indices.
@@ -23,7 +23,7 @@
 	groups  map[int64]int
 	zones   map[string]int
 	tariffs map[string]int
-	ids     []int64 // of jobs, by place
+	ids     []int64 // of requests, by place
 	places  map[int64]balance.Place
 	zero    int64 // of positions
 	x0, x1  bool
@@ -31,64 +31,64 @@
 }
 
 func (h *host) provision(e *fastjson.Value) {
-	c := contract.Read(field.Object(e, "facts"))
+	c := settings.Read(jsonfield.Object(e, "facts"))
 	*h = host{now: h.now, said: h.said, nodes: map[string]int{}, groups: map[int64]int{}, zones: map[string]int{},
-		tariffs: c.Names, places: map[int64]balance.Place{}, zero: c.Zero, x0: c.Place, x1: c.Role}
-	c.Settle(h.zones)
-	h.router = balance.Open(&c.Contract, uint64(field.Whole(e, "initSeed", false)), h, h.now)
+		tariffs: c.ByName, places: map[int64]balance.Place{}, zero: c.Zero, x0: c.Place, x1: c.Role}
+	c.ResolveZone(h.zones)
+	h.router = balance.Open(&c.Settings, uint64(jsonfield.Whole(e, "initSeed", false)), h, h.now)
 }
 
 func (h *host) roster(e *fastjson.Value, s *server) {
-	kind := field.Str(e, "kind", true)
+	kind := jsonfield.Str(e, "kind", true)
 	switch kind {
 	case "broken":
 		h.router.ListFailed(h.now)
 		return
 	case "patch", "whole", "stale_copy":
 	default:
-		field.Fail("kind %q is none of patch, whole, stale_copy, broken", kind)
+		jsonfield.Fail("kind %q is none of patch, whole, stale_copy, broken", kind)
 	}
 	h.router.Listing(kind != "patch")
 	for _, w := range s.lists[s.buffer(e)] {
-		n := contract.Index(h.nodes, w.node)
+		n := settings.Index(h.nodes, w.node)
 		if n == len(h.names) {
 			h.names = append(h.names, w.node)
 		}
-		h.router.Member(h.now, n, contract.Index(h.groups, w.group), contract.Index(h.zones, w.zone), crc32.ChecksumIEEE([]byte(w.node)),
+		h.router.Member(h.now, n, settings.Index(h.groups, w.group), settings.Index(h.zones, w.zone), crc32.ChecksumIEEE([]byte(w.node)),
 			w.standing, w.weight, w.launched, w.primary)
 	}
 	h.router.Listed(h.now)
 }
 
 func (h *host) inbound(e *fastjson.Value) {
-	id := field.Whole(e, "job", true)
-	t, ok := h.tariffs[field.Str(e, "type", true)]
+	id := jsonfield.Whole(e, "job", true)
+	t, ok := h.tariffs[jsonfield.Str(e, "type", true)]
 	if !ok {
-		field.Fail("type %q is not in the settings", field.Str(e, "type", true))
+		jsonfield.Fail("type %q is not in the settings", jsonfield.Str(e, "type", true))
 	}
-	p := h.router.Seat()
+	p := h.router.Reserve()
 	for int(p) >= len(h.ids) {
 		h.ids = append(h.ids, 0)
 	}
 	h.ids[p], h.places[id] = id, p
-	h.router.Take(h.now, p, t, contract.Index(h.groups, field.Whole(e, "setNo", false)), field.Whole(e, "budgetUs", true)*1000,
-		int64(math.Floor(field.Number(e, "wroteMsAgo", 0)*1e6)), &balance.Terms{})
+	h.router.Accept(h.now, p, t, settings.Index(h.groups, jsonfield.Whole(e, "setNo", false)), jsonfield.Whole(e, "budgetUs", true)*1000,
+		int64(math.Floor(jsonfield.Number(e, "wroteMsAgo", 0)*1e6)), &balance.Terms{})
 }
 
 func (h *host) finished(e *fastjson.Value) {
-	p, ok := h.places[field.Whole(e, "job", true)]
+	p, ok := h.places[jsonfield.Whole(e, "job", true)]
 	if !ok {
 		return
 	}
-	var ending balance.Ending
-	switch rc := field.Whole(e, "rc", false); rc {
+	var ending balance.Outcome
+	switch rc := jsonfield.Whole(e, "rc", false); rc {
 	case 0:
 	case 1:
 		ending = balance.Miss
 	case 249:
-		ending = balance.Moot
+		ending = balance.NotSent
 	case 250:
-		ending = balance.Revoked
+		ending = balance.Canceled
 	case 251:
 		ending = balance.Broken
 	case 252:
@@ -100,40 +100,40 @@
 	case 255:
 		ending = balance.Failed
 	default:
-		field.Fail("rc %d is no ending", rc)
+		jsonfield.Fail("rc %d is no ending", rc)
 	}
 	var note balance.Note
-	if v := field.Whole(e, "posRole", false); v > 0 {
+	if v := jsonfield.Whole(e, "posRole", false); v > 0 {
 		note.Role = balance.Role(v % 4)
 		if v >= 4 {
 			note.Position = h.zero + v/4*1e6
 		}
 	}
-	h.router.Ended(h.now, p, int(field.Whole(e, "leg", false)), ending, field.Flag(e, "settled"), field.Whole(e, "latencyUs", false)*1000,
+	h.router.Ended(h.now, p, int(jsonfield.Whole(e, "leg", false)), ending, jsonfield.Flag(e, "settled"), jsonfield.Whole(e, "latencyUs", false)*1000,
 		note, h.report(e))
 }
 
 func (h *host) heard(e *fastjson.Value) {
-	words, err := base64.StdEncoding.DecodeString(field.Str(e, "content", false))
+	words, err := base64.StdEncoding.DecodeString(jsonfield.Str(e, "content", false))
 	if err != nil {
 		return // another router's fault must not stop this one
 	}
-	h.router.Heard(h.now, int(field.Whole(e, "src", false)), words)
+	h.router.Heard(h.now, int(jsonfield.Whole(e, "src", false)), words)
 }
 
 func (h *host) report(e *fastjson.Value) balance.Report {
-	v := field.Any(e, "report")
+	v := jsonfield.Any(e, "report")
 	if v == nil {
 		return balance.Report{Held: -1}
 	}
-	r := balance.Report{Given: true, Held: field.Number(v, "concurrent", -1),
-		Busy: field.Number(v, "load_share", 0)}
-	if h.x0 && field.Any(v, "x0") != nil {
-		r.Position = h.zero + int64(math.Floor(field.Number(v, "x0", 0)*1e6))*1000
+	r := balance.Report{Given: true, Held: jsonfield.Number(v, "concurrent", -1),
+		Busy: jsonfield.Number(v, "load_share", 0)}
+	if h.x0 && jsonfield.Any(v, "x0") != nil {
+		r.Position = h.zero + int64(math.Floor(jsonfield.Number(v, "x0", 0)*1e6))*1000
 	}
-	if h.x1 && field.Any(v, "x1") != nil {
+	if h.x1 && jsonfield.Any(v, "x1") != nil {
 		r.Role = balance.Replica
-		if field.Number(v, "x1", 0) >= 0.5 {
+		if jsonfield.Number(v, "x1", 0) >= 0.5 {
 			r.Role = balance.Primary
 		}
 	}
@@ -163,46 +163,46 @@
 // us is a span or time on the wire, rounded up so that nothing comes early.
 func us(ns int64) int64 { return (ns + 999) / 1000 }
 
-// Submit implements balance.Outside.
+// Submit implements balance.Actions.
 func (h *host) Submit(p balance.Place, node int, until int64) {
 	h.say(`{"op":"SUBMIT_TO","job":`).num(h.ids[p]).say(`,"node":`).quote(h.names[node])
 	h.say(`,"tryUntilUs":`).num(us(until)).end()
 }
 
-// Bounce implements balance.Outside.
-func (h *host) Bounce(p balance.Place, stayAway int64) {
+// Reject implements balance.Actions.
+func (h *host) Reject(p balance.Place, stayAway int64) {
 	h.say(`{"op":"NOT_NOW","job":`).num(h.ids[p]).say(`,"retryInUs":`).num(us(stayAway)).end()
 }
 
-// Terminate implements balance.Outside.
-func (h *host) Terminate(p balance.Place) { h.say(`{"op":"SURRENDER","job":`).num(h.ids[p]).end() }
+// Fail implements balance.Actions.
+func (h *host) Fail(p balance.Place) { h.say(`{"op":"SURRENDER","job":`).num(h.ids[p]).end() }
 
-// Alarm implements balance.Outside.
+// Alarm implements balance.Actions.
 func (h *host) Alarm(after int64) {
 	h.say(`{"op":"SET_ALARM","fromNowUs":`).num(us(after)).say(`,"nonce":1`).end()
 }
 
-// Probe implements balance.Outside.
+// Probe implements balance.Actions.
 func (h *host) Probe(node int) { h.say(`{"op":"PING","node":`).quote(h.names[node]).end() }
 
-// Watch implements balance.Outside.
+// Watch implements balance.Actions.
 func (h *host) Watch() { h.say(`{"op":"OBSERVE","on":true`).end() }
 
-// Revoke implements balance.Outside.
-func (h *host) Revoke(p balance.Place, leg int) {
+// Cancel implements balance.Actions.
+func (h *host) Cancel(p balance.Place, leg int) {
 	h.say(`{"op":"REVOKE","job":`).num(h.ids[p]).say(`,"leg":`).num(int64(leg)).end()
 }
 
-// Grant implements balance.Outside; no job of the simulator has terms that count.
+// Grant implements balance.Actions; no request of the simulator has terms that count.
 func (h *host) Grant(balance.Place, bool) bool { return true }
 
-// Release implements balance.Outside.
+// Release implements balance.Actions.
 func (h *host) Release(node int) { h.say(`{"op":"RELEASE","node":`).quote(h.names[node]).end() }
 
-// Lookup implements balance.Outside.
+// Lookup implements balance.Actions.
 func (h *host) Lookup() { h.say(`{"op":"LOOKUP"`).end() }
 
-// Tell implements balance.Outside.
+// Tell implements balance.Actions.
 func (h *host) Tell(router int, words []byte) {
 	h.say(`{"op":"MEMO_TO","target":`)
 	if router < 0 {
@@ -215,10 +215,10 @@
 	h.say(`"`).end()
 }
 
-// Log implements balance.Outside.
+// Log implements balance.Actions.
 func (h *host) Log(node int, words string) {
 	h.say(`{"op":"WRITE_LOG","words":`).quote(words + " " + h.names[node]).end()
 }
 
-// Vacate implements balance.Outside.
+// Vacate implements balance.Actions.
 func (h *host) Vacate(p balance.Place) { delete(h.places, h.ids[p]) }
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -13,7 +13,7 @@
 	"github.com/valyala/fastjson"
 
 	"sedgestream/balance"
-	"sedgestream/internal/field"
+	"sedgestream/internal/jsonfield"
 )
 
 // Serve answers the batches on in until it ends.
@@ -78,7 +78,7 @@
 	defer func() {
 		switch p := recover().(type) {
 		case nil:
-		case field.Malformed:
+		case jsonfield.Malformed:
 			err = fmt.Errorf("%s: %s", where, p.Text)
 		default:
 			panic(p)
@@ -89,23 +89,23 @@
 		return nil, fmt.Errorf("not JSON: %w", perr)
 	}
 	if v.Type() != fastjson.TypeObject {
-		field.Fail("want an object, have %s", v.Type())
+		jsonfield.Fail("want an object, have %s", v.Type())
 	}
-	now := field.Whole(v, "nowUs", true) * 1000
-	groups := field.Array(v, "groups", true)
+	now := jsonfield.Whole(v, "nowUs", true) * 1000
+	groups := jsonfield.Array(v, "groups", true)
 	s.reply = append(s.reply[:0], `{"groups":[`...)
 	first := true
 	for gi, g := range groups {
 		where = "groups[" + strconv.Itoa(gi) + "]"
-		id := field.Whole(g, "routerId", true)
+		id := jsonfield.Whole(g, "routerId", true)
 		h := s.hosts[id]
 		if h == nil {
 			h = &host{}
 			s.hosts[id] = h
 		}
 		h.now, h.said = now, h.said[:0]
-		for ei, e := range field.Array(g, "inbox", true) {
-			op := field.Str(e, "op", true)
+		for ei, e := range jsonfield.Array(g, "inbox", true) {
+			op := jsonfield.Str(e, "op", true)
 			where = fmt.Sprintf("groups[%d].inbox[%d] %s", gi, ei, op)
 			if op == "DIRECTORY" {
 				s.directory(e)
@@ -132,18 +132,18 @@
 func (s *server) directory(e *fastjson.Value) {
 	n := s.buffer(e)
 	rows := s.lists[n][:0]
-	for _, v := range field.Array(e, "rowsIn", false) {
-		w := row{node: field.Str(v, "node", true), zone: field.Str(v, "hall", false), group: field.Whole(v, "cluster", false),
-			weight: field.Number(v, "heft", 1), launched: field.Whole(v, "launchedUs", false) * 1000,
-			primary: field.Number(v, "writer", 0) == 1}
-		switch st := field.Str(v, "availability", false); st {
+	for _, v := range jsonfield.Array(e, "rowsIn", false) {
+		w := row{node: jsonfield.Str(v, "node", true), zone: jsonfield.Str(v, "hall", false), group: jsonfield.Whole(v, "cluster", false),
+			weight: jsonfield.Number(v, "heft", 1), launched: jsonfield.Whole(v, "launchedUs", false) * 1000,
+			primary: jsonfield.Number(v, "writer", 0) == 1}
+		switch st := jsonfield.Str(v, "availability", false); st {
 		case "IN", "":
 		case "LAME":
 			w.standing = balance.Draining
 		case "OUT":
 			w.standing = balance.Gone
 		default:
-			field.Fail("availability %q is none of IN, LAME, OUT", st)
+			jsonfield.Fail("availability %q is none of IN, LAME, OUT", st)
 		}
 		rows = append(rows, w)
 	}
@@ -151,9 +151,9 @@
 }
 
 func (s *server) buffer(e *fastjson.Value) int64 {
-	n := field.Whole(e, "buffer", false)
+	n := jsonfield.Whole(e, "buffer", false)
 	if n < 0 || n >= int64(len(s.lists)) {
-		field.Fail("buffer %d is not in 0 to %d", n, len(s.lists)-1)
+		jsonfield.Fail("buffer %d is not in 0 to %d", n, len(s.lists)-1)
 	}
 	return n
 }
@@ -163,14 +163,14 @@
 	defer func() {
 		switch p := recover().(type) {
 		case nil:
-		case field.Malformed:
+		case jsonfield.Malformed:
 			panic(p)
 		default:
 			h.say(`{"op":"CRASH","words":`).quote(fmt.Sprint(op, ": ", p)).end()
 		}
 	}()
 	if h.router == nil && op != "PROVISION" && op != "DOWN" {
-		field.Fail("the instance has not been provisioned")
+		jsonfield.Fail("the instance has not been provisioned")
 	}
 	switch op {
 	case "PROVISION":
@@ -184,20 +184,20 @@
 	case "FINISHED":
 		h.finished(e)
 	case "LEFT":
-		if p, ok := h.places[field.Whole(e, "job", true)]; ok {
+		if p, ok := h.places[jsonfield.Whole(e, "job", true)]; ok {
 			h.router.Left(p)
 		}
 	case "TICK_DUE":
 		h.router.Wake(h.now)
 	case "PROBE_DONE":
-		if n, ok := h.nodes[field.Str(e, "node", true)]; ok {
-			h.router.Probed(h.now, n, field.Whole(e, "rc", false) == 0, h.report(e))
+		if n, ok := h.nodes[jsonfield.Str(e, "node", true)]; ok {
+			h.router.Probed(h.now, n, jsonfield.Whole(e, "rc", false) == 0, h.report(e))
 		}
 	case "NEIGHBOUR_SAYS":
 		h.heard(e)
 	case "OPENED": // no streams here
-		field.Str(e, "op", true)
+		jsonfield.Str(e, "op", true)
 	default:
-		field.Fail("no such event")
+		jsonfield.Fail("no such event")
 	}
 }
