--- a/Makefile
+++ b/Makefile
@@ -12,6 +12,7 @@
 lint:
 	test -z "$$(gofmt -l balance internal cmd)"
 	go vet ./...
+	go tool staticcheck ./...
 
 # Every parser of a wire, for as long as it is let; FUZZ=1m make fuzz
 fuzz:
--- a/cmd/sedgestream/lab.go
+++ b/cmd/sedgestream/lab.go
@@ -62,12 +62,12 @@
 func (l *labFleet) Run() error {
 	d, err := day.Read(l.File)
 	if err != nil {
-		desk := inspect.Desk{Out: os.Stdout, Err: os.Stderr, Env: os.Getenv}
+		desk := inspect.Printer{Out: os.Stdout, Err: os.Stderr, Env: os.Getenv}
 		return desk.Faults(err)
 	}
 	err = l.play(d)
 	if errors.Is(err, fleet.ErrFound) {
-		return inspect.Wrong
+		return inspect.ErrInvalid
 	}
 	return err
 }
@@ -85,7 +85,7 @@
 func (l *labEven) Run() error {
 	d, err := day.Read(l.File)
 	if err != nil {
-		desk := inspect.Desk{Out: os.Stdout, Err: os.Stderr, Env: os.Getenv}
+		desk := inspect.Printer{Out: os.Stdout, Err: os.Stderr, Env: os.Getenv}
 		return desk.Faults(err)
 	}
 	if l.Sizes {
@@ -97,7 +97,7 @@
 		return nil
 	}
 	if err = l.play(d); errors.Is(err, fleet.ErrFound) {
-		return inspect.Wrong
+		return inspect.ErrInvalid
 	}
 	return err
 }
--- a/cmd/sedgestream/main.go
+++ b/cmd/sedgestream/main.go
@@ -147,8 +147,8 @@
 	JSON bool `name:"json" help:"Answer in JSON."`
 }
 
-func (f form) desk() *inspect.Desk {
-	return &inspect.Desk{Out: os.Stdout, Err: os.Stderr, JSON: f.JSON, Env: os.Getenv}
+func (f form) desk() *inspect.Printer {
+	return &inspect.Printer{Out: os.Stdout, Err: os.Stderr, JSON: f.JSON, Env: os.Getenv}
 }
 
 type check struct {
@@ -238,7 +238,7 @@
 		os.Exit(misuse)
 	}
 	if err = ctx.Run(); err != nil {
-		if !errors.Is(err, inspect.Wrong) {
+		if !errors.Is(err, inspect.ErrInvalid) {
 			fmt.Fprintln(os.Stderr, "sedgestream:", err)
 		}
 		os.Exit(wrong)
--- a/internal/configfile/paper.go
+++ b/internal/configfile/paper.go
@@ -1,4 +1,4 @@
-// Package paper reads the JSON files that operators own, and tells all that is wrong with one at once, each fault with its
+// Package configfile reads the JSON files that operators own, and tells all that is wrong with one at once, each fault with its
 // line and column.
 //
 // It takes RFC 8259 in UTF-8 and no more: no member twice, nothing behind the value, no number that float64 can't hold.
--- a/internal/decide/members/members.go
+++ b/internal/decide/members/members.go
@@ -58,6 +58,7 @@
 
 // Record is what one instance tells of a member.
 type Record struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack    struct{} `msgpack:",as_array"`
 	Name        string
 	Address     string // of its datagrams and exchanges
--- a/internal/decide/members/rumor.go
+++ b/internal/decide/members/rumor.go
@@ -14,6 +14,7 @@
 
 // Word is a datagram.
 type Word struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Kind     Words
 	Seq      uint64
--- a/internal/decide/plan/plan_test.go
+++ b/internal/decide/plan/plan_test.go
@@ -63,7 +63,6 @@
 	wants    []int64
 	lossy    float64
 	least    int64
-	lent     int64 // most that all used, of all shares in parts of a thousand
 	answered int
 }
 
--- a/internal/decide/share/share.go
+++ b/internal/decide/share/share.go
@@ -28,6 +28,7 @@
 
 // Shown is what a node itself said of its load and place, to whichever router heard it last. The zero value is none.
 type Shown struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Position int64    // as the node says it: of its own clock
 	Primary  bool
@@ -36,6 +37,7 @@
 
 // Part is what a router says of a node.
 type Part struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Mark     uint32   // the node's, as the module has it
 	Held     float32  // attempts that it had out there, on average since it said so last
@@ -136,6 +138,7 @@
 
 // Entry is what all routers together have at a node, by what a planner was told.
 type Entry struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Mark     uint32
 	Held     float32 // attempts out there, as they probably are when routers act on it
@@ -155,7 +158,6 @@
 	nodes  map[uint32]*total
 	made   int64
 	digest []Entry
-	turn   int
 }
 
 // says is what one router said last. Nodes that it does not name have none of its attempts.
--- a/internal/decide/terms/explain.go
+++ b/internal/decide/terms/explain.go
@@ -19,7 +19,7 @@
 	Line    []Moment `json:"line"`
 	Trips   int      `json:"trips"` // that it can make at most
 	Held    int64    `json:"held"`  // ns of all its attempts together, at most
-	Limit   int64    `json:"limit"` // its deadline in ns; 0: its client's, which the settings does not bound
+	Limit   int64    `json:"limit"` // its deadline in ns; 0: its client's, which the settings do not bound
 	Refused string   `json:"refused,omitempty"`
 }
 
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -1,4 +1,4 @@
-// Package dispatcher is the only door to the module: one lock, one clock, the alarm. The module answers while a
+// Package dispatch is the only door to the module: one lock, one clock, the alarm. The module answers while a
 // call runs; its orders go into mailboxes and are carried out by others, so that nothing here blocks.
 package dispatch
 
--- a/internal/inspect/advise.go
+++ b/internal/inspect/advise.go
@@ -1,4 +1,4 @@
-// Package advise answers operators' questions about files before any router uses them: what is wrong with one, what
+// Package inspect answers operators' questions about files before any router uses them: what is wrong with one, what
 // becomes of a request by its terms, and which requests a change of terms would treat otherwise. It answers in tables for people
 // and in JSON for programs.
 package inspect
@@ -19,24 +19,24 @@
 	"sedgestream/internal/termsfile"
 )
 
-// Wrong is the error of a file that was read and found wrong; all has been told by then.
-var Wrong = errors.New("the file is wrong")
+// ErrInvalid is the error of a file that was read and found wrong; all has been told by then.
+var ErrInvalid = errors.New("the file is wrong")
 
-// Dispatcher is where answers go: to people or as JSON to Out, faults and warnings to Err.
-type Desk struct {
+// Printer is where answers go: to people or as JSON to Out, faults and warnings to Err.
+type Printer struct {
 	Out, Err io.Writer
 	JSON     bool
 	Env      func(string) string
 }
 
-func (d *Desk) json(v any) error {
+func (d *Printer) json(v any) error {
 	e := json.NewEncoder(d.Out)
 	e.SetIndent("", "  ")
 	return e.Encode(v)
 }
 
 // Faults tells what is wrong, if anything.
-func (d *Desk) Faults(err error) error {
+func (d *Printer) Faults(err error) error {
 	var fs configfile.Faults
 	if !errors.As(err, &fs) {
 		return err
@@ -44,11 +44,11 @@
 	for _, f := range fs {
 		fmt.Fprintln(d.Err, f)
 	}
-	return Wrong
+	return ErrInvalid
 }
 
 // Check reads the platform's file as a router would.
-func (d *Desk) Check(path string) error {
+func (d *Printer) Check(path string) error {
 	faults, unread, err := service.Check(path, d.Env)
 	if err != nil {
 		return err
@@ -74,7 +74,7 @@
 func some(fs configfile.Faults) configfile.Faults { return append(configfile.Faults{}, fs...) }
 
 // ground is that of the platform's file.
-func (d *Desk) ground(posting string) (*terms.Ground, error) {
+func (d *Printer) ground(posting string) (*terms.Ground, error) {
 	p, err := service.ReadPosting(func(key string) string {
 		if key == "ROUTER_CONFIG" {
 			return posting
@@ -91,7 +91,7 @@
 }
 
 // CheckTerms proves a file of terms.
-func (d *Desk) CheckTerms(path, posting string) error {
+func (d *Printer) CheckTerms(path, posting string) error {
 	g, err := d.ground(posting)
 	if err != nil {
 		return err
@@ -123,7 +123,7 @@
 }
 
 // Explain tells what becomes of a request.
-func (d *Desk) Explain(path, posting string, a Asked) error {
+func (d *Printer) Explain(path, posting string, a Asked) error {
 	g, err := d.ground(posting)
 	if err != nil {
 		return err
@@ -170,7 +170,7 @@
 }
 
 // Diff tells which requests the file after would treat otherwise than the one before.
-func (d *Desk) Diff(before, after, posting string) error {
+func (d *Printer) Diff(before, after, posting string) error {
 	g, err := d.ground(posting)
 	if err != nil {
 		return err
--- a/internal/inspect/fleet.go
+++ b/internal/inspect/fleet.go
@@ -44,7 +44,7 @@
 }
 
 // gather asks those that are named, and then everyone that any of them believes to be there.
-func (d *Desk) gather(path string, at []string) (*Sight, error) {
+func (d *Printer) gather(path string, at []string) (*Sight, error) {
 	todo := map[string]string{} // names by address
 	for _, a := range at {
 		todo[a] = ""
@@ -184,9 +184,9 @@
 	}
 }
 
-// ShowFleet tells each member's view side by side, and who differs from most, in what and since when. It is Wrong if any differs
+// ShowFleet tells each member's view side by side, and who differs from most, in what and since when. It is ErrInvalid if any differs
 // or does not answer.
-func (d *Desk) ShowFleet(path string, at []string, all bool) error {
+func (d *Printer) ShowFleet(path string, at []string, all bool) error {
 	s, err := d.gather(path, at)
 	if err != nil {
 		return err
@@ -197,12 +197,12 @@
 		err = d.sight(s, all)
 	}
 	if err == nil && (len(s.Silent) > 0 || len(s.Differ) > 0) {
-		return Wrong
+		return ErrInvalid
 	}
 	return err
 }
 
-func (d *Desk) sight(s *Sight, all bool) error {
+func (d *Printer) sight(s *Sight, all bool) error {
 	w := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "member\tkind\tzone\taddress\tview\tdigest\tmembers\tmay send\tsituation\tstrain\tsuspects\tfailed\tleft")
 	for _, v := range s.Views {
@@ -258,7 +258,7 @@
 }
 
 // LeaveFleet has a member leave, or calls one off that has failed.
-func (d *Desk) LeaveFleet(path string, at []string, name, by string) error {
+func (d *Printer) LeaveFleet(path string, at []string, name, by string) error {
 	s, err := d.gather(path, at)
 	if err != nil {
 		return err
--- a/internal/inspect/plan.go
+++ b/internal/inspect/plan.go
@@ -17,7 +17,7 @@
 const wait = 2 * time.Second
 
 // ShowPlanners tells what the tier's planners, or one of them, and their forwarders believe.
-func (d *Desk) ShowPlanners(path, name string) error {
+func (d *Printer) ShowPlanners(path, name string) error {
 	tier, err := tierfile.Load(path)
 	if err != nil {
 		return d.Faults(err)
@@ -47,7 +47,7 @@
 		return err
 	}
 	if missing > 0 {
-		return Wrong
+		return ErrInvalid
 	}
 	return nil
 }
@@ -66,7 +66,7 @@
 var standings = map[balance.Standing]string{balance.In: "up", balance.Draining: "draining", balance.Gone: "gone"}
 
 // table has the planners side by side, a node a line, and below each forwarder's own view.
-func (d *Desk) table(views []*message.Show) error {
+func (d *Printer) table(views []*message.Show) error {
 	w := tabwriter.NewWriter(d.Out, 0, 8, 2, ' ', 0)
 	for _, v := range views {
 		fmt.Fprintf(w, "planner %s", v.Planner)
--- a/internal/jsonfield/field.go
+++ b/internal/jsonfield/field.go
@@ -1,4 +1,4 @@
-// Package field reads the fields of JSON objects. A reader that meets a wrong value leaves by a panic that
+// Package jsonfield reads the fields of JSON objects. A reader that meets a wrong value leaves by a panic that
 // Catch turns into an error, so that callers read many fields without a check after each.
 package jsonfield
 
--- a/internal/lab/evensim/evensim_test.go
+++ b/internal/lab/evensim/evensim_test.go
@@ -37,7 +37,8 @@
 // The same seed is the same to the last attempt; another is another.
 func TestSeeds(t *testing.T) {
 	hash := func(seed uint64) uint64 { return New(Usual(30, 0.7, Digests, seed)).Run().Hash }
-	if hash(1) != hash(1) || hash(1) == hash(2) {
+	first, again, other := hash(1), hash(1), hash(2)
+	if first != again || first == other {
 		t.Error("a day is not what its seed says")
 	}
 }
@@ -94,13 +95,13 @@
 		p.Strength = func(n int, _ time.Duration) float64 { return map[bool]float64{true: 0.5, false: 1}[n == 3] }
 	}
 	deaf := func(p *Plan) { p.Deaf = func(_ int, at time.Duration) bool { return at > 3*time.Second } }
-	cv, rs := play(100, 0.7, Digests, func(p *Plan) { wrong(p); deaf(p) })
+	cv, _ := play(100, 0.7, Digests, func(p *Plan) { wrong(p); deaf(p) })
 	alone, _ := play(100, 0.7, Module, wrong)
 	t.Logf("weak liar: %.2f, alone %.2f", cv, alone)
 	if cv[2] > 0.6*alone[2] {
 		t.Errorf("weak liar: %.2f against %.2f alone", cv, alone)
 	}
-	cv, rs = play(100, 0.7, Digests, deaf)
+	cv, rs := play(100, 0.7, Digests, deaf)
 	alone, _ = play(100, 0.7, Module, nil)
 	t.Logf("%.2f, alone %.2f; %.0f bytes a router and second", cv, alone, rs[0].Words)
 	if cv[0] > 1.3*alone[0] || part(rs, func(r *Result) int { return r.Late + r.Failed }) > 0.01 {
--- a/internal/lab/membersim/heartbeats.go
+++ b/internal/lab/membersim/heartbeats.go
@@ -251,7 +251,11 @@
 			}
 			for _, ask := range tick.Indirect {
 				whom := slices.Index(names, ask[1])
-				if !lost() && !lost() && !lost() && !lost() && !(whom == dead && p >= dies) {
+				answered := true // there and back, each by way of the one that asks
+				for range 4 {
+					answered = !lost() && answered
+				}
+				if answered && !(whom == dead && p >= dies) {
 					m.Heard(now, ask[1], ms[whom].Incarnation())
 				}
 			}
--- a/internal/message/loads.go
+++ b/internal/message/loads.go
@@ -13,6 +13,7 @@
 
 // Loads is what a router tells others of its attempts while no planner hears it: a datagram beside those of the membership.
 type Loads struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Life     uint64   // of the router
 	Parts    []share.Part
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -1,4 +1,4 @@
-// Package words has what planners and forwarders say to each other over TCP: frames of a length and a MessagePack body, each
+// Package message has what planners and forwarders say to each other over TCP: frames of a length and a MessagePack body, each
 // field within its bounds. Whoever says anything else is told why and hung up on.
 package message
 
--- a/internal/upstream/nodes.go
+++ b/internal/upstream/nodes.go
@@ -1,4 +1,4 @@
-// Package attempt carries attempts and probes to nodes: it keeps the connections, and tells how each attempt ended.
+// Package upstream carries attempts and probes to nodes: it keeps the connections, and tells how each attempt ended.
 // Where to, when and for how long is told to it.
 package upstream
 
