--- a/internal/decide/share/share_test.go
+++ b/internal/decide/loadsum/loadsum_test.go
@@ -1,4 +1,4 @@
-package share
+package loadsum
 
 import (
 	"flag"
@@ -31,7 +31,7 @@
 		read := func() {
 			span := float64(now - last)
 			last = now
-			for _, p := range m.Read(now, func(n int, p *Part) { p.Mark = uint32(n + 1) }) {
+			for _, p := range m.Read(now, func(n int, p *NodeLoad) { p.Mark = uint32(n + 1) }) {
 				sum[p.Mark-1] += float64(p.Held) * max(span, 1)
 				told[p.Mark-1] += int(p.Sent)
 			}
@@ -65,14 +65,14 @@
 }
 
 // feed has routers say each period what they hold at each node of a group, as long as given.
-func feed(l *Ledger, now *int64, periods, routers int, held func(node int) (trips, rate float64)) []Entry {
+func feed(l *Aggregator, now *int64, periods, routers int, held func(node int) (trips, rate float64)) []Summary {
 	for range periods {
 		*now += l.period
 		for r := range routers {
-			var ps []Part
+			var ps []NodeLoad
 			for n := range 5 {
 				h, rate := held(n)
-				ps = append(ps, Part{Mark: uint32(n + 1), Held: float32(h / float64(routers)), Sent: uint32(rate * float64(l.period) / 1e9 / float64(routers)), Weight: 1})
+				ps = append(ps, NodeLoad{Mark: uint32(n + 1), Held: float32(h / float64(routers)), Sent: uint32(rate * float64(l.period) / 1e9 / float64(routers)), Weight: 1})
 			}
 			l.Heard(*now, uint64(r+1), ps)
 		}
@@ -82,7 +82,7 @@
 	return l.Digest(*now, 0)
 }
 
-func entry(es []Entry, mark uint32) (e Entry) {
+func entry(es []Summary, mark uint32) (e Summary) {
 	for i := range es {
 		if es[i].Mark == mark {
 			e = es[i]
@@ -94,7 +94,7 @@
 // The sum over all is what they said, each once; who falls silent counts for less and less, and not for nothing at once; who leaves
 // by its own word is out at once; where some were not heard that are there, the others stand for them, within bounds.
 func TestLedgerSums(t *testing.T) {
-	l, now := NewLedger(100*ms), int64(1e12)
+	l, now := NewAggregator(100*ms), int64(1e12)
 	held := func(n int) (float64, float64) { return float64(10 * (n + 1)), 1000 }
 	es := feed(l, &now, 5, 10, held)
 	if e := entry(es, 3); math.Abs(l.nodes[3].held-30) > 0.1 || math.Abs(float64(e.Held)-30) > 0.1 || e.Routers != 10 || math.Abs(float64(e.Rate)-1000) > 20 {
@@ -105,7 +105,7 @@
 		now += l.period
 		l.Digest(now, 0)
 		h := l.nodes[3].held
-		if h > last+1e-3 || p < fresh-1 && h < 29.9 || p > lasts && h > 0 {
+		if h > last+1e-3 || p < fresh-1 && h < 29.9 || p > expires && h > 0 {
 			t.Errorf("%d periods after the last word: %v, %v before", p+1, h, last)
 		}
 		last = h
@@ -130,36 +130,36 @@
 	const routers = 100
 	for p := range 60 {
 		now += l.period
-		for k := range Tells {
-			r := (p*Tells + k*37) % routers
-			l.Heard(now, uint64(r+1), []Part{{Mark: 1, Held: 0.3, Sent: 1, Weight: 1}})
+		for k := range TellsPerPeriod {
+			r := (p*TellsPerPeriod + k*37) % routers
+			l.Heard(now, uint64(r+1), []NodeLoad{{Mark: 1, Held: 0.3, Sent: 1, Weight: 1}})
 		}
 		l.Digest(now, routers)
 	}
 	l.made = 0
 	if l.Digest(now, routers); math.Abs(l.nodes[1].held-30) > 3 {
-		t.Errorf("a sample of %d gives %v, not 30", len(l.of), l.nodes[1].held)
+		t.Errorf("a sample of %d gives %v, not 30", len(l.reports), l.nodes[1].held)
 	}
-	if Alone(now, now-5, 10) || !Alone(now, now-11, 10) {
+	if WithoutPlanners(now, now-5, 10) || !WithoutPlanners(now, now-11, 10) {
 		t.Error("alone at the wrong time")
 	}
 }
 
 // A digest has its bounds however many nodes there are, and each node comes in its turn.
 func TestDigestBounded(t *testing.T) {
-	l, now := NewLedger(100*ms), int64(1e12)
+	l, now := NewAggregator(100*ms), int64(1e12)
 	seen := map[uint32]bool{}
 	for p := range 60 {
 		now += l.period
 		for r := range 20 {
-			var ps []Part
-			for n := range MostParts {
-				ps = append(ps, Part{Mark: uint32(1 + (r*40+n+p)%600), Held: float32(n), Sent: 1, Weight: 1})
+			var ps []NodeLoad
+			for n := range MaxNodeLoads {
+				ps = append(ps, NodeLoad{Mark: uint32(1 + (r*40+n+p)%600), Held: float32(n), Sent: 1, Weight: 1})
 			}
 			l.Heard(now, uint64(r+1), ps)
 		}
 		es := l.Digest(now, 0)
-		if len(es) > MostEntries {
+		if len(es) > MaxSummaries {
 			t.Fatalf("%d entries", len(es))
 		}
 		for _, e := range es {
@@ -170,7 +170,7 @@
 		t.Errorf("%d of 600 nodes were ever told of", len(seen))
 	}
 	for n := range 2 * MostNodes {
-		l.Heard(now, 1, []Part{{Mark: uint32(n + 1), Held: 1}})
+		l.Heard(now, 1, []NodeLoad{{Mark: uint32(n + 1), Held: 1}})
 	}
 	if len(l.nodes) > MostNodes {
 		t.Errorf("%d nodes", len(l.nodes))
@@ -191,7 +191,7 @@
 		{"twice", func(int) (float64, float64) { return 2, 300 }, 0.1, 0.7},
 		{"hardly used", func(int) (float64, float64) { return 0.02, 1 }, 0, 0},
 	} {
-		l, now := NewLedger(100*ms), int64(1e12)
+		l, now := NewAggregator(100*ms), int64(1e12)
 		es := feed(l, &now, 100, 10, func(n int) (float64, float64) {
 			switch {
 			case n == 0:
@@ -201,22 +201,22 @@
 			}
 			return 4, 200
 		})
-		if e := entry(es, 1); float64(e.Lean) < c.least || float64(e.Lean) > c.most {
-			t.Errorf("%s: leans by %v", c.name, e.Lean)
+		if e := entry(es, 1); float64(e.LogStrength) < c.least || float64(e.LogStrength) > c.most {
+			t.Errorf("%s: leans by %v", c.name, e.LogStrength)
 		}
-		if e := entry(es, 2); math.Abs(float64(e.Lean)) > 0.1 {
-			t.Errorf("%s: another one leans by %v", c.name, e.Lean)
+		if e := entry(es, 2); math.Abs(float64(e.LogStrength)) > 0.1 {
+			t.Errorf("%s: another one leans by %v", c.name, e.LogStrength)
 		}
 	}
-	l, now := NewLedger(100*ms), int64(1e12)
+	l, now := NewAggregator(100*ms), int64(1e12)
 	feed(l, &now, 50, 10, func(int) (float64, float64) { return 4, 200 })
 	for range 20 {
 		now += l.period
-		l.Heard(now, 1, []Part{{Mark: 1, Held: 0.1, Sent: 30, Failed: 30, Weight: 1}})
+		l.Heard(now, 1, []NodeLoad{{Mark: 1, Held: 0.1, Sent: 30, Failed: 30, Weight: 1}})
 	}
 	l.made = 0
-	if e := entry(l.Digest(now, 0), 1); e.Lean > -mostLean+0.01 {
-		t.Errorf("one that fails leans by %v", e.Lean)
+	if e := entry(l.Digest(now, 0), 1); e.LogStrength > -maxLogStrength+0.01 {
+		t.Errorf("one that fails leans by %v", e.LogStrength)
 	}
 }
 
@@ -224,7 +224,7 @@
 // not.
 func TestForesee(t *testing.T) {
 	for takes, least := range map[float64]float64{10: 4, 2000: 15} { // ms
-		l, now := NewLedger(100*ms), int64(1e12)
+		l, now := NewAggregator(100*ms), int64(1e12)
 		calm := func(int) (float64, float64) { return 4, 4 / takes * 1e3 }
 		feed(l, &now, 30, 10, calm)
 		es := feed(l, &now, 1, 10, func(n int) (float64, float64) {
@@ -247,9 +247,9 @@
 // Of planners that contradict each other the one counts that more routers stand behind; among equals the newest; and one that has
 // fallen silent counts no more.
 func TestViews(t *testing.T) {
-	v, now := NewViews(100*ms), int64(1e12)
+	v, now := NewPlannerViews(100*ms), int64(1e12)
 	say := func(planner string, held float32, routers uint16, age uint32) float64 {
-		h, _ := v.Heard(now, planner, &Entry{Mark: 7, Held: held, Routers: routers, Age: age})
+		h, _ := v.Heard(now, planner, &Summary{Mark: 7, Held: held, Routers: routers, Age: age})
 		return h
 	}
 	say("a", 10, 100, 50)
@@ -273,12 +273,12 @@
 func TestClockAhead(t *testing.T) {
 	const period = 100 * ms
 	now := int64(1e12)
-	m, l := NewMeter(now), NewLedger(period)
+	m, l := NewMeter(now), NewAggregator(period)
 	say := func(position int64) int64 {
 		now += period
 		m.Shown(now, 0, Shown{Position: position})
 		m.Shown(now, 0, Shown{Position: position - ms}) // an older answer that comes later
-		l.Heard(now, 1, m.Read(now, func(_ int, p *Part) { p.Mark = 7 }))
+		l.Heard(now, 1, m.Read(now, func(_ int, p *NodeLoad) { p.Mark = 7 }))
 		return l.Digest(now, 1)[0].Shown.Position
 	}
 	if got := say(now); got > now {
--- /dev/null
+++ b/internal/decide/loadsum/meter.go
@@ -0,0 +1,116 @@
+package loadsum
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Shown is what a node itself said of its load and place, to whichever router heard it last. The zero value is none.
+type Shown struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
+	_msgpack struct{} `msgpack:",as_array"`
+	Position int64    // as the node says it: of its own clock
+	Primary  bool
+	Busy     float32 // part of its cores
+}
+
+// NodeLoad is what a router says of a node.
+type NodeLoad struct {
+	//lint:ignore U1000 msgpack reads the tag of this field by reflection
+	_msgpack struct{} `msgpack:",as_array"`
+	Mark     uint32   // the node's, as the module has it
+	Held     float32  // attempts that it had out there, on average since it said so last
+	Sent     uint32   // attempts since then
+	Failed   uint32   // attempts since then that ended without an answer of the node's, or by an error
+	Group    int64    // the node's, and its weight by the list
+	Weight   float32
+	Shown    *Shown // if the node has said anything since
+}
+
+// Meter is one router's account of its own attempts by node.
+type Meter struct {
+	of   []slot
+	said int64 // when it was last read
+}
+
+type slot struct {
+	held  int   // attempts out
+	sum   int64 // attempts times ns since the last reading
+	at    int64 // up to when sum goes
+	sent  uint32
+	fails uint32
+	shown Shown
+	news  bool // the node has shown something since
+}
+
+// NewMeter begins now.
+func NewMeter(now int64) *Meter { return &Meter{said: now} }
+
+func (m *Meter) slot(now int64, n int) *slot {
+	for len(m.of) <= n {
+		m.of = append(m.of, slot{at: m.said})
+	}
+	s := &m.of[n]
+	s.sum += int64(s.held) * (now - s.at)
+	s.at = now
+	return s
+}
+
+// Sent notes an attempt to a node.
+func (m *Meter) Sent(now int64, n int) {
+	s := m.slot(now, n)
+	s.held++
+	s.sent++
+}
+
+// Ended notes its end, and whether the node failed in it.
+func (m *Meter) Ended(now int64, n int, failed bool) {
+	s := m.slot(now, n)
+	s.held = max(0, s.held-1)
+	if failed {
+		s.fails++
+	}
+}
+
+// Shown notes what a node has said of itself: the furthest since the last reading.
+func (m *Meter) Shown(now int64, n int, shown Shown) {
+	if s := m.slot(now, n); !s.news || shown.Position > s.shown.Position {
+		s.shown, s.news = shown, true
+	}
+}
+
+// Forget lets go of a node whose number may name another.
+func (m *Meter) Forget(n int) {
+	if n < len(m.of) {
+		m.of[n] = slot{at: m.said}
+	}
+}
+
+// Read gives the parts since it was last read, and begins anew; name fills in which node it is. Nodes without a mark (0) are left
+// out; of too many, those that this router has the most attempts at are told.
+func (m *Meter) Read(now int64, name func(n int, p *NodeLoad)) (parts []NodeLoad) {
+	span := float64(max(1, now-m.said))
+	m.said = now
+	for n := range m.of {
+		s := m.slot(now, n)
+		p, sum, news := NodeLoad{Sent: s.sent, Failed: s.fails}, s.sum, s.news
+		s.sum, s.sent, s.fails, s.news = 0, 0, 0, false
+		if sum == 0 && p.Sent == 0 && !news {
+			continue
+		}
+		p.Held = float32(float64(sum) / span)
+		if name(n, &p); p.Mark == 0 {
+			continue
+		}
+		if news {
+			shown := s.shown
+			p.Shown = &shown
+		}
+		parts = append(parts, p)
+	}
+	if len(parts) > MaxNodeLoads {
+		slices.SortFunc(parts, func(a, b NodeLoad) int { return -cmp.Compare(a.Held, b.Held) })
+		parts = parts[:MaxNodeLoads]
+	}
+	return parts
+}
--- a/internal/decide/plan/plan.go
+++ b/internal/decide/plan/plan.go
@@ -26,7 +26,7 @@
 const paused = 4
 
 // quietest is how many reports a forwarder sends in a term at least: within half a term a planner's answer shows that it is there,
-// and voices of its jury don't lapse.
+// and votes of its failure quorum don't lapse.
 const quietest = 2
 
 // Due tells whether a forwarder has to report now. It does when there is anything new, while it asks for leases or sees a node fail,
--- a/internal/decide/plan/plan_test.go
+++ b/internal/decide/plan/plan_test.go
@@ -349,7 +349,7 @@
 }
 
 func TestJury(t *testing.T) {
-	j := NewJury(1000 * ms)
+	j := NewFailureQuorum(1000 * ms)
 	j.Saw(0, "n", 1, true)
 	if j.Condemned(0, "n") {
 		t.Error("condemned by one")
--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -13,8 +13,8 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
+	"sedgestream/internal/decide/loadsum"
 	"sedgestream/internal/decide/plan"
-	"sedgestream/internal/decide/share"
 	"sedgestream/internal/decide/terms"
 	"sedgestream/internal/settings"
 )
@@ -99,7 +99,7 @@
 	zones     map[string]int
 	board     *plan.Board       // what planners and the list say of nodes; nil without planners
 	rows      map[string]Server // as the list has them, while there is a board
-	meter     *share.Meter      // of own attempts, for those who add up what all routers have; nil if nobody does
+	meter     *loadsum.Meter    // of own attempts, for those who add up what all routers have; nil if nobody does
 	marks     map[uint32]int    // nodes by their marks, while there is a meter; below 0 of one that two share
 
 	// Orders that belong to no request. Each list is bounded: a node has at most one probe out.
--- a/internal/dispatch/loads.go
+++ b/internal/dispatch/loads.go
@@ -4,24 +4,24 @@
 	"hash/crc32"
 
 	"sedgestream/balance"
-	"sedgestream/internal/decide/share"
+	"sedgestream/internal/decide/loadsum"
 )
 
 // Metered has the dispatcher keep account of its attempts for those who add up what all routers have. It is called before the first list.
 func (d *Dispatcher) Metered() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.meter, d.marks = share.NewMeter(d.Now()), map[uint32]int{}
+	d.meter, d.marks = loadsum.NewMeter(d.Now()), map[uint32]int{}
 }
 
 // Loads is the account since it was last asked for.
-func (d *Dispatcher) Loads() []share.Part {
+func (d *Dispatcher) Loads() []loadsum.NodeLoad {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.meter == nil {
 		return nil
 	}
-	return d.meter.Read(d.Now(), func(n int, p *share.Part) {
+	return d.meter.Read(d.Now(), func(n int, p *loadsum.NodeLoad) {
 		if n >= len(d.names) || d.names[n] == "" {
 			return
 		}
@@ -33,7 +33,7 @@
 }
 
 // Summed takes in what all routers together have at nodes; believe says of each what counts, and how old it is.
-func (d *Dispatcher) Summed(es []share.Entry, believe func(e *share.Entry) (held float64, age int64)) {
+func (d *Dispatcher) Summed(es []loadsum.Summary, believe func(e *loadsum.Summary) (held float64, age int64)) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if d.meter == nil {
@@ -47,7 +47,7 @@
 			continue
 		}
 		held, age := believe(e)
-		d.router.Summed(now, n, held, float64(e.Lean), age)
+		d.router.Summed(now, n, held, float64(e.LogStrength), age)
 		if s := e.Shown; s != nil {
 			rep := balance.Report{Given: true, Position: s.Position, Role: balance.Replica, Held: -1, Busy: float64(s.Busy)}
 			if s.Primary {
@@ -61,7 +61,7 @@
 // metered notes what a node has shown of itself, for others. A position in the future is believed by nobody, and not told.
 func (d *Dispatcher) metered(n int, rep balance.Report) {
 	if rep.Given && rep.Position > 0 && rep.Position <= d.Now() && rep.Role != balance.Unknown {
-		d.meter.Shown(d.Now(), n, share.Shown{Position: rep.Position, Primary: rep.Role == balance.Primary, Busy: float32(max(0, rep.Busy))})
+		d.meter.Shown(d.Now(), n, loadsum.Shown{Position: rep.Position, Primary: rep.Role == balance.Primary, Busy: float32(max(0, rep.Busy))})
 	}
 }
 
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -15,9 +15,9 @@
 	"github.com/vmihailenco/msgpack/v5"
 	"go.uber.org/zap"
 
+	"sedgestream/internal/decide/loadsum"
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/plan"
-	"sedgestream/internal/decide/share"
 	"sedgestream/internal/dispatch"
 	"sedgestream/internal/message"
 )
@@ -51,9 +51,9 @@
 	mu      sync.Mutex
 	holders map[string]*plan.Holder // by node
 	links   map[string]*link        // that are up, by planner
-	views   *share.Views            // of what planners added up; nil if that is not wanted
+	views   *loadsum.PlannerViews   // of what planners added up; nil if that is not wanted
 	digest  int64                   // when a planner's last came
-	sample  *share.Ledger           // of what other routers say; nil while planners hear this one
+	sample  *loadsum.Aggregator     // of what other routers say; nil while planners hear this one
 }
 
 // link is a connection to a planner.
@@ -70,10 +70,10 @@
 // New has the dispatcher follow planners. It is called before the dispatcher's first list.
 func New(p Post, d *dispatch.Dispatcher, log *zap.Logger) *Links {
 	d.Planned()
-	var views *share.Views
+	var views *loadsum.PlannerViews
 	if p.Loads {
 		d.Metered()
-		views = share.NewViews(int64(p.Period))
+		views = loadsum.NewPlannerViews(int64(p.Period))
 	}
 	return &Links{views: views, post: p, desk: d, log: log, life: plan.Life(rand.Uint64() | 1), born: d.Now(), stop: make(chan struct{}),
 		holders: map[string]*plan.Holder{}, links: map[string]*link{}}
@@ -197,7 +197,7 @@
 			s.sample = nil
 			s.log.Info("planners add up the load again", zap.String("planner", name))
 		}
-		s.desk.Summed(a.Digest, func(e *share.Entry) (float64, int64) { return s.views.Heard(now, name, e) })
+		s.desk.Summed(a.Digest, func(e *loadsum.Summary) (float64, int64) { return s.views.Heard(now, name, e) })
 	}
 	if s.post.Holds != nil && !s.post.Holds().Hints {
 		return
@@ -288,18 +288,18 @@
 const others = ""
 
 // alone has the router go by what some others say of their attempts, and tell some of its own, while no planner adds up all.
-func (s *Links) alone(now int64, loads []share.Part) {
-	if s.post.Tell == nil || !share.Alone(now, max(s.digest, s.born), int64(s.post.Term)) {
+func (s *Links) alone(now int64, loads []loadsum.NodeLoad) {
+	if s.post.Tell == nil || !loadsum.WithoutPlanners(now, max(s.digest, s.born), int64(s.post.Term)) {
 		return
 	}
 	if s.sample == nil {
-		s.sample = share.NewSample(int64(s.post.Period))
+		s.sample = loadsum.NewSample(int64(s.post.Period))
 		s.log.Info("no planner adds up the load: other routers are asked for a sample")
 	}
 	s.sample.Heard(now, uint64(s.life), loads)
-	s.post.Tell(&message.Loads{Life: uint64(s.life), Parts: loads}, share.Tells)
+	s.post.Tell(&message.Loads{Life: uint64(s.life), Parts: loads}, loadsum.TellsPerPeriod)
 	es := s.sample.Digest(now, s.post.Routers())
-	s.desk.Summed(es, func(e *share.Entry) (float64, int64) { return s.views.Heard(now, others, e) })
+	s.desk.Summed(es, func(e *loadsum.Summary) (float64, int64) { return s.views.Heard(now, others, e) })
 }
 
 // Heard takes in what another router says of its attempts.
--- a/internal/inspect/plan.go
+++ b/internal/inspect/plan.go
@@ -92,8 +92,8 @@
 			}
 			if e := n.Load; e != nil {
 				said += fmt.Sprintf(", %.1f trips of %d routers", e.Held, e.Routers)
-				if e.Lean != 0 {
-					said += fmt.Sprintf(", %.2f times as strong as listed", math.Exp(float64(e.Lean)))
+				if e.LogStrength != 0 {
+					said += fmt.Sprintf(", %.2f times as strong as listed", math.Exp(float64(e.LogStrength)))
 				}
 			}
 			rows[n.Notice.Node][i] = fmt.Sprintf("%s\t%d of %d\t%d", said, n.Lent, n.Pledged, n.Holders)
--- a/internal/lab/even/even.go
+++ b/internal/lab/evenness/evenness.go
@@ -1,6 +1,6 @@
 // Package even measures how evenly load lies on nodes, from ledgers of what came to each and when it was answered: in simulated
 // time and among processes alike.
-package even
+package evenness
 
 import (
 	"cmp"
--- a/internal/lab/even/even_test.go
+++ b/internal/lab/evenness/evenness_test.go
@@ -1,4 +1,4 @@
-package even
+package evenness
 
 import (
 	"math"
--- a/internal/lab/evensim/evensim.go
+++ b/internal/lab/evensim/evensim.go
@@ -13,8 +13,8 @@
 	"github.com/cespare/xxhash/v2"
 
 	"sedgestream/balance"
-	"sedgestream/internal/decide/share"
-	"sedgestream/internal/lab/even"
+	"sedgestream/internal/decide/loadsum"
+	"sedgestream/internal/lab/evenness"
 )
 
 // Policy is who chooses the node.
@@ -66,7 +66,7 @@
 
 // Result is what it came to.
 type Result struct {
-	Even    *even.Verdict
+	Even    *evenness.Verdict
 	Jobs    int
 	Done    int
 	Late    int // beyond their target latency
@@ -89,7 +89,7 @@
 	serial  uint64
 	nodes   []node
 	routers []*router
-	ledger  *share.Ledger
+	ledger  *loadsum.Aggregator
 	hash    xxhash.Digest
 	res     Result
 	bytes   float64
@@ -106,7 +106,7 @@
 	coming  int // on their way
 	busy    int
 	queue   []int // visits that wait
-	visits  []even.Visit
+	visits  []evenness.Visit
 	backs   []back // of its visits
 	past    []past // its state, for those that see it late
 	sent    int    // by all, ever
@@ -157,7 +157,7 @@
 
 // New makes a world ready.
 func New(p Plan) *World {
-	w := &World{Plan: p, now: int64(time.Hour), chance: rand.New(rand.NewPCG(p.Seed, 29)), ledger: share.NewLedger(int64(p.Period))}
+	w := &World{Plan: p, now: int64(time.Hour), chance: rand.New(rand.NewPCG(p.Seed, 29)), ledger: loadsum.NewAggregator(int64(p.Period))}
 	w.begin = w.now
 	for g := range p.Groups {
 		w.nodes = append(w.nodes, node{group: g, primary: true})
@@ -206,16 +206,16 @@
 		w.now = e.at
 		e.do()
 	}
-	var nodes []even.Node
+	var nodes []evenness.Node
 	k := 0
 	for n := range w.nodes {
 		if d := &w.nodes[n]; !d.primary {
-			nodes = append(nodes, even.Node{Name: fmt.Sprint(n), Group: d.group, Capacity: float64(w.Cores) * w.strength(k, end), Visits: d.visits})
+			nodes = append(nodes, evenness.Node{Name: fmt.Sprint(n), Group: d.group, Capacity: float64(w.Cores) * w.strength(k, end), Visits: d.visits})
 			k++
 		}
 	}
 	r := &w.res
-	r.Even = even.Measure(nodes, end-int64(w.Span), end)
+	r.Even = evenness.Measure(nodes, end-int64(w.Span), end)
 	secs := (w.Warm + w.Span).Seconds()
 	r.Probes, r.Words = float64(w.probes)/float64(w.Routers)/secs, w.bytes/float64(w.Routers)/secs
 	r.Told = float64(w.told) / float64(w.Routers) / secs
@@ -241,7 +241,7 @@
 		w.answer(n, b, balance.Failed, int64(w.Mean)/20)
 		return
 	}
-	d.visits = append(d.visits, even.Visit{Came: w.now, Router: b.r.number})
+	d.visits = append(d.visits, evenness.Visit{Came: w.now, Router: b.r.number})
 	d.backs = append(d.backs, b)
 	d.held++
 	d.note(w)
@@ -376,7 +376,7 @@
 	wordBytes  = 24
 )
 
-func sizeOf(parts []share.Part, es []share.Entry) float64 {
+func sizeOf(parts []loadsum.NodeLoad, es []loadsum.Summary) float64 {
 	n := wordBytes + partBytes*len(parts) + entryBytes*len(es)
 	for _, p := range parts {
 		n += cmp.Compare(len(parts), 0) * map[bool]int{true: shownBytes}[p.Shown != nil]
--- a/internal/lab/evensim/evensim_test.go
+++ b/internal/lab/evensim/evensim_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"sedgestream/internal/decide/share"
+	"sedgestream/internal/decide/loadsum"
 )
 
 var seeds = flag.Uint64("even.seeds", 2, "of each figure")
@@ -56,7 +56,7 @@
 		}
 		words[n] = rs[0].Words
 	}
-	if most := 10.0 * (wordBytes*2 + share.MostEntries*(entryBytes+shownBytes+2)); words[300] > most { // ten digests a second
+	if most := 10.0 * (wordBytes*2 + loadsum.MaxSummaries*(entryBytes+shownBytes+2)); words[300] > most { // ten digests a second
 		t.Errorf("bytes a router and second: %v, more than %v", words, most)
 	}
 }
--- a/internal/lab/evensim/router.go
+++ b/internal/lab/evensim/router.go
@@ -5,7 +5,7 @@
 	"time"
 
 	"sedgestream/balance"
-	"sedgestream/internal/decide/share"
+	"sedgestream/internal/decide/loadsum"
 )
 
 // router is one of many, with the module in it where the policy says so.
@@ -20,9 +20,9 @@
 	jobs   map[balance.Place]*job
 	serial int
 	alarm  uint64
-	meter  *share.Meter
-	views  *share.Views
-	sample *share.Ledger // while it is deaf
+	meter  *loadsum.Meter
+	views  *loadsum.PlannerViews
+	sample *loadsum.Aggregator // while it is deaf
 }
 
 type job struct {
@@ -47,7 +47,7 @@
 		}
 		r.b.Listed(w.now)
 		if w.Policy == Digests {
-			r.meter, r.views = share.NewMeter(w.now), share.NewViews(int64(w.Period))
+			r.meter, r.views = loadsum.NewMeter(w.now), loadsum.NewPlannerViews(int64(w.Period))
 			w.do(w.chance.Int64N(int64(w.Period)), r.tell)
 		}
 	}
@@ -147,7 +147,7 @@
 func (r *router) tell() {
 	w := r.w
 	w.do(int64(w.Period), r.tell)
-	parts := r.meter.Read(w.now, func(n int, p *share.Part) { p.Mark, p.Group, p.Weight = mark(n), int64(w.nodes[n].group), 1 })
+	parts := r.meter.Read(w.now, func(n int, p *loadsum.NodeLoad) { p.Mark, p.Group, p.Weight = mark(n), int64(w.nodes[n].group), 1 })
 	if w.Deaf != nil && w.Deaf(r.number, w.since()) {
 		r.alone(parts)
 		return
@@ -163,13 +163,13 @@
 }
 
 // take takes in a digest.
-func (r *router) take(from string, es []share.Entry) {
+func (r *router) take(from string, es []loadsum.Summary) {
 	w := r.w
 	for i := range es {
 		e := &es[i]
 		n := w.unmark(e.Mark)
 		held, age := r.views.Heard(w.now, from, e)
-		r.b.Summed(w.now, n, held, float64(e.Lean), age)
+		r.b.Summed(w.now, n, held, float64(e.LogStrength), age)
 		if s := e.Shown; s != nil {
 			rep := balance.Report{Given: true, Position: s.Position, Role: balance.Replica, Held: -1, Busy: float64(s.Busy)}
 			if s.Primary {
@@ -181,13 +181,13 @@
 }
 
 // alone has the router go by what some others say, as package forward does.
-func (r *router) alone(parts []share.Part) {
+func (r *router) alone(parts []loadsum.NodeLoad) {
 	w := r.w
 	if r.sample == nil {
-		r.sample = share.NewSample(int64(w.Period))
+		r.sample = loadsum.NewSample(int64(w.Period))
 	}
 	r.sample.Heard(w.now, uint64(r.number+1), parts)
-	for range share.Tells {
+	for range loadsum.TellsPerPeriod {
 		o := w.routers[w.chance.IntN(len(w.routers))]
 		w.bytes += sizeOf(parts, nil)
 		w.do(w.way(), func() {
@@ -244,7 +244,7 @@
 		rep := w.report(n)
 		w.do(w.way(), func() {
 			if r.meter != nil {
-				r.meter.Shown(w.now, n, share.Shown{Position: rep.Position, Primary: rep.Role == balance.Primary, Busy: float32(rep.Busy)})
+				r.meter.Shown(w.now, n, loadsum.Shown{Position: rep.Position, Primary: rep.Role == balance.Primary, Busy: float32(rep.Busy)})
 			}
 			r.b.Probed(w.now, n, true, rep)
 		})
--- a/internal/lab/fleet/even.go
+++ b/internal/lab/fleet/even.go
@@ -5,27 +5,27 @@
 	"fmt"
 	"time"
 
-	"sedgestream/internal/lab/even"
+	"sedgestream/internal/lab/evenness"
 )
 
 // Even measures how evenly load lay on the replicas from a moment of the day to another, by their ledgers. A node's capacity is
 // what it truly is at the day's begin; one that was dead or young meanwhile is left out for that time.
-func (r *Rig) Even(from, to time.Time, strength func(node int) float64) *even.Verdict {
+func (r *Rig) Even(from, to time.Time, strength func(node int) float64) *evenness.Verdict {
 	number := map[string]int{}
 	for _, c := range r.procs {
 		number[c.name] = c.number
 	}
-	var nodes []even.Node
+	var nodes []evenness.Node
 	for n, d := range r.Nodes {
 		if d.Role == "source" {
 			continue
 		}
-		e := even.Node{Name: fmt.Sprint(n), Group: d.Group, Capacity: float64(max(1, d.Cores())) * strength(n), From: from.UnixNano()}
+		e := evenness.Node{Name: fmt.Sprint(n), Group: d.Group, Capacity: float64(max(1, d.Cores())) * strength(n), From: from.UnixNano()}
 		if starts := d.Starts(); len(starts) > 0 {
 			e.From = max(e.From, starts[len(starts)-1].Add(coldFor).UnixNano())
 		}
 		for _, ran := range d.Ledger() {
-			v := even.Visit{Came: ran.At.UnixNano(), Router: -1}
+			v := evenness.Visit{Came: ran.At.UnixNano(), Router: -1}
 			if j := r.jobs.of[ran.ID]; j != nil {
 				v.Router = number[j.router]
 			}
@@ -36,7 +36,7 @@
 		}
 		nodes = append(nodes, e)
 	}
-	return even.Measure(nodes, from.UnixNano(), to.UnixNano())
+	return evenness.Measure(nodes, from.UnixNano(), to.UnixNano())
 }
 
 // loads draws the requests in hand at each replica.
--- a/internal/lab/fleet/judge.go
+++ b/internal/lab/fleet/judge.go
@@ -11,7 +11,7 @@
 
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/lab/day"
-	"sedgestream/internal/lab/even"
+	"sedgestream/internal/lab/evenness"
 	"sedgestream/internal/message"
 	"sedgestream/internal/standin"
 )
@@ -24,10 +24,10 @@
 	Jobs     int     // answered
 	Excused  int     // lost with their router
 	Bounced  int
-	Drains   int           // that were told
-	Cold     float64       // the most that a young node got, as a part of its limit
-	Even     *even.Verdict // of replicas that work on a bounded number of requests; nil where none do
-	Bytes    float64       // of datagrams, an instance and second
+	Drains   int               // that were told
+	Cold     float64           // the most that a young node got, as a part of its limit
+	Even     *evenness.Verdict // of replicas that work on a bounded number of requests; nil where none do
+	Bytes    float64           // of datagrams, an instance and second
 	Words    float64
 	Found    []string // broken rules and promises
 }
--- a/internal/message/loads.go
+++ b/internal/message/loads.go
@@ -7,8 +7,8 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"sedgestream/internal/decide/loadsum"
 	"sedgestream/internal/decide/members"
-	"sedgestream/internal/decide/share"
 )
 
 // Loads is what a router tells others of its attempts while no planner hears it: a datagram beside those of the membership.
@@ -16,7 +16,7 @@
 	//lint:ignore U1000 msgpack reads the tag of this field by reflection
 	_msgpack struct{} `msgpack:",as_array"`
 	Life     uint64   // of the router
-	Parts    []share.Part
+	Parts    []loadsum.NodeLoad
 }
 
 // loadsVersion marks such a datagram.
@@ -51,7 +51,7 @@
 		return nil, fmt.Errorf("words: no word of ours: %w", err)
 	}
 	var errs []error
-	if len(l.Parts) > share.MostParts {
+	if len(l.Parts) > loadsum.MaxNodeLoads {
 		errs = append(errs, fmt.Errorf("words: loads of %d nodes", len(l.Parts)))
 	}
 	for i := range l.Parts {
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -15,9 +15,9 @@
 
 	"github.com/vmihailenco/msgpack/v5"
 
+	"sedgestream/internal/decide/loadsum"
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/plan"
-	"sedgestream/internal/decide/share"
 )
 
 // Version is that of the words. Another one ends the connection.
@@ -64,11 +64,11 @@
 
 // Report is what a forwarder says, once a period.
 type Report struct {
-	Asks    []NodeAsk     `msgpack:"a,omitempty"`
-	Saw     []NodeSaw     `msgpack:"s,omitempty"`
-	Notices []plan.Notice `msgpack:"n,omitempty"` // of its own list
-	Beliefs []Belief      `msgpack:"b,omitempty"` // for operators
-	Loads   []share.Part  `msgpack:"l,omitempty"` // of its own attempts, since the report before
+	Asks    []NodeAsk          `msgpack:"a,omitempty"`
+	Saw     []NodeSaw          `msgpack:"s,omitempty"`
+	Notices []plan.Notice      `msgpack:"n,omitempty"` // of its own list
+	Beliefs []Belief           `msgpack:"b,omitempty"` // for operators
+	Loads   []loadsum.NodeLoad `msgpack:"l,omitempty"` // of its own attempts, since the report before
 }
 
 // NodeAsk asks for a lease of a node.
@@ -94,12 +94,12 @@
 
 // Answer is what a planner says to a forwarder: answers to its asks, and all that is news to it.
 type Answer struct {
-	Says      []NodeSay     `msgpack:"s,omitempty"`
-	Notices   []plan.Notice `msgpack:"n,omitempty"`
-	Condemned []string      `msgpack:"c,omitempty"` // all of them, whenever there is an answer to a report
-	Answered  bool          `msgpack:"d,omitempty"` // it answers a report, and is not only news
-	Live      []string      `msgpack:"p,omitempty"` // planners of this one's view; none while it has no view to go by
-	Digest    []share.Entry `msgpack:"e,omitempty"` // of what all routers have at nodes
+	Says      []NodeSay         `msgpack:"s,omitempty"`
+	Notices   []plan.Notice     `msgpack:"n,omitempty"`
+	Condemned []string          `msgpack:"c,omitempty"` // all of them, whenever there is an answer to a report
+	Answered  bool              `msgpack:"d,omitempty"` // it answers a report, and is not only news
+	Live      []string          `msgpack:"p,omitempty"` // planners of this one's view; none while it has no view to go by
+	Digest    []loadsum.Summary `msgpack:"e,omitempty"` // of what all routers have at nodes
 }
 
 // NodeSay answers an ask.
@@ -129,7 +129,7 @@
 	Lent      int64       `msgpack:"l" json:"lent"`    // out at most
 	Pledged   int64       `msgpack:"p" json:"pledged"`
 	// Load is what all routers have there, as far as this planner was told; nil if it was not.
-	Load *share.Entry `msgpack:"e,omitempty" json:"load,omitempty"`
+	Load *loadsum.Summary `msgpack:"e,omitempty" json:"load,omitempty"`
 }
 
 // ForwarderBelief is what a forwarder said that it believes.
@@ -178,7 +178,7 @@
 	if r := w.Report; r != nil {
 		errs = append(errs, count("asks", len(r.Asks)), count("sights", len(r.Saw)), count("beliefs", len(r.Beliefs)))
 		notices(r.Notices)
-		if len(r.Loads) > share.MostParts {
+		if len(r.Loads) > loadsum.MaxNodeLoads {
 			errs = append(errs, fmt.Errorf("words: loads of %d nodes", len(r.Loads)))
 		}
 		for i := range r.Loads {
@@ -196,7 +196,7 @@
 	if a := w.Answer; a != nil {
 		errs = append(errs, count("says", len(a.Says)), count("nodes", len(a.Condemned)), count("planners", len(a.Live)))
 		notices(a.Notices)
-		if len(a.Digest) > share.MostEntries {
+		if len(a.Digest) > loadsum.MaxSummaries {
 			errs = append(errs, fmt.Errorf("words: a digest of %d nodes", len(a.Digest)))
 		}
 		for i := range a.Digest {
@@ -221,8 +221,8 @@
 }
 
 // load holds a node's against its bounds. What is no number is none of them.
-func load(held float32, shown *share.Shown) error {
-	if !(held >= 0 && held <= share.MostHeld) || shown != nil && !(shown.Position > 0 && shown.Busy >= 0) {
+func load(held float32, shown *loadsum.Shown) error {
+	if !(held >= 0 && held <= loadsum.MostHeld) || shown != nil && !(shown.Position > 0 && shown.Busy >= 0) {
 		return fmt.Errorf("words: a load of %v, %+v", held, shown)
 	}
 	return nil
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -18,23 +18,23 @@
 
 	"go.uber.org/zap"
 
+	"sedgestream/internal/decide/loadsum"
 	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/plan"
-	"sedgestream/internal/decide/share"
 	"sedgestream/internal/member"
 	"sedgestream/internal/message"
 )
 
 // Post is what a planner is told at its start.
 type Post struct {
-	Name    string
-	Listen  string
-	Peers   map[string]string // other planners' addresses, by name
-	Term    time.Duration     // of leases
-	Period  time.Duration     // of heartbeats
-	MostIn  int               // connections
-	Voices  time.Duration     // for which what forwarders saw counts
-	Removed time.Duration     // after which a node that left is let go of
+	Name     string
+	Listen   string
+	Peers    map[string]string // other planners' addresses, by name
+	Term     time.Duration     // of leases
+	Period   time.Duration     // of heartbeats
+	MostIn   int               // connections
+	VoteSpan time.Duration     // for which what forwarders saw counts
+	Removed  time.Duration     // after which a node that left is let go of
 
 	// Of its membership, whose datagrams come to the port that it listens on.
 	Fleet         string
@@ -60,8 +60,8 @@
 	changes    uint64
 	verdicts   uint64 // how often a node was condemned
 	pools      map[string]*plan.Pool
-	jury       *plan.Jury
-	loads      *share.Ledger // what routers have at nodes
+	failures   *plan.FailureQuorum
+	loads      *loadsum.Aggregator // what routers have at nodes
 	forwarders map[plan.Life]*forwarder
 	conns      map[*conn]struct{}
 	last       int64 // when it last ticked
@@ -96,7 +96,7 @@
 		return nil, err
 	}
 	s := &Planner{post: p, log: log, listener: l, start: time.Now(), stop: make(chan struct{}), board: plan.NewBoard(),
-		changed: map[string]change{}, jury: plan.NewJury(int64(p.Voices)), loads: share.NewLedger(int64(p.Period)),
+		changed: map[string]change{}, failures: plan.NewFailureQuorum(int64(p.VoteSpan)), loads: loadsum.NewAggregator(int64(p.Period)),
 		forwarders: map[plan.Life]*forwarder{}, conns: map[*conn]struct{}{}}
 	s.begin()
 	s.last = s.now()
@@ -367,8 +367,8 @@
 	s.forwarders[c.hello.Life] = &forwarder{c.hello.Name, now, r.Beliefs}
 	s.posted(r.Notices)
 	for _, v := range r.Saw {
-		was := v.Failed && s.jury.Condemned(now, v.Node)
-		if s.jury.Saw(now, v.Node, c.hello.Life, v.Failed); v.Failed && !was && holds.Hints && s.jury.Condemned(now, v.Node) {
+		was := v.Failed && s.failures.Condemned(now, v.Node)
+		if s.failures.Saw(now, v.Node, c.hello.Life, v.Failed); v.Failed && !was && holds.Hints && s.failures.Condemned(now, v.Node) {
 			s.verdicts++ // all hear of it at once
 			for o := range s.conns {
 				o.ring()
@@ -403,7 +403,7 @@
 func (s *Planner) condemned() (nodes []string) {
 	now := s.now()
 	for node := range s.changed {
-		if s.jury.Condemned(now, node) {
+		if s.failures.Condemned(now, node) {
 			nodes = append(nodes, node)
 		}
 	}
@@ -415,7 +415,7 @@
 func (s *Planner) show() *message.Show {
 	now := s.now()
 	v := &message.Show{Planner: s.post.Name, Members: s.member.Known()}
-	loads := map[uint32]*share.Entry{}
+	loads := map[uint32]*loadsum.Summary{}
 	if s.loads.Routers(now) > 0 {
 		digest := s.loads.Digest(now, s.member.Routers())
 		for i := range digest {
@@ -423,7 +423,7 @@
 		}
 	}
 	s.board.Each(func(n plan.Notice) {
-		node := message.Node{Notice: n, Condemned: s.jury.Condemned(now, n.Node)}
+		node := message.Node{Notice: n, Condemned: s.failures.Condemned(now, n.Node)}
 		node.Load = loads[crc32.ChecksumIEEE([]byte(n.Node))]
 		if p := s.pools[n.Node]; p != nil {
 			node.Holders, node.Pledged, node.Lent = p.Sums(now)
--- a/internal/service/plan.go
+++ b/internal/service/plan.go
@@ -30,7 +30,7 @@
 	}
 	delete(tier.Planners, name)
 	p, err := planner.New(planner.Post{Name: name, Listen: listen, Peers: tier.Planners, Term: tier.Term, Period: tier.Period,
-		MostIn: tier.Connections, Voices: voicesTerms * tier.Term, Removed: time.Duration(removedTerms) * tier.Term,
+		MostIn: tier.Connections, VoteSpan: voicesTerms * tier.Term, Removed: time.Duration(removedTerms) * tier.Term,
 		Fleet: tier.Fleet, Advertise: advertise, Seeds: tier.Seeds, Probe: tier.Probe, Forget: tier.Forget}, log)
 	if err != nil {
 		return err
