--- a/internal/discovery/splitter.go
+++ b/internal/discovery/splitter.go
@@ -5,8 +5,6 @@
 	"errors"
 	"fmt"
 	"io"
-
-	"github.com/valyala/fastjson"
 )
 
 // maxSnapshotBytes is what one list may hold, in bytes.
@@ -48,15 +46,6 @@
 	errTooLong  = fmt.Errorf("list: one is longer than %d bytes", maxSnapshotBytes)
 )
 
-// parse reads a list's text.
-func parse(text []byte) (Snapshot, error) {
-	v, err := fastjson.ParseBytes(text)
-	if err != nil {
-		return Snapshot{}, err
-	}
-	return Read(v)
-}
-
 // next is the text of the next list, or nothing for an empty line between two. Its error is a wrongList, behind which it goes
 // on, or that of the stream; a list that the stream's end cuts off is io.ErrUnexpectedEOF. The text is valid until the next
 // call.
