--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,7 +1,8 @@
 // Package balance decides where each request goes, when it goes again and how it ends. To call it: Open a
 // router, tell it the list (Listing, Member, Listed, ListFailed, ListMoved), its requests (Reserve, Accept, Left),
 // the endings of their attempts (Ended) and of probes (Probed), and its alarm (Wake). It answers by calls on
-// Actions; that interface and the settings stand in types.go, what a router keeps in state.go.
+// Actions; that interface and the settings stand in types.go, what a router keeps in state.go, and when it asks for
+// the list in asking.go.
 //
 // The ordinary path is that of docs/design.md. Beside the design stand six mechanisms:
 //  1. room: how many attempts a node can hold so that they take half their target latency on average.
@@ -60,12 +61,6 @@
 	r.ejectFor, r.grace, r.coldFor, r.span = 4*c.ConnectTimeout, c.DrainGrace/2, c.ColdFor, max(c.FallSpan, 1)
 	r.startShare, r.perSpan, r.away = c.StartShare, coldPart*c.FallMultiple, c.LongestAbsence
 	r.goneMayServe, r.peers = c.GoneMayServe, c.RoutersTalk
-	if r.leastBackoff, r.mostBackoff = c.AskEvery/20, c.AskEvery/2; c.ListPushed { // asking costs nothing
-		r.mostBackoff = min(r.leastBackoff, r.grace/4)
-	} else if c.ListTold > 0 { // what is missed counts as told then
-		r.mostBackoff = min(r.mostBackoff, c.ListTold/2)
-	}
-	r.leastBackoff = min(r.leastBackoff, r.mostBackoff)
 	r.asking, r.me, r.keep, r.zone = c.ListOnAsking, c.Me, c.KeepAlive, int32(c.Zone)
 	shortest, best, bound := int64(math.MaxInt64), 0.0, int64(math.MaxInt64)
 	for _, t := range c.Classes {
@@ -82,6 +77,7 @@
 		numbers = append(numbers, r.enter(own, len(numbers) == 0))
 	}
 	r.sweep = max(c.Tick, shortest/sweeps)
+	r.boundPauses(c)
 	if r.useful = bound; bound == math.MaxInt64 {
 		r.useful = 2 * shortest
 	}
@@ -100,20 +96,6 @@
 	return c.LongestAbsence
 }
 
-// ListMoved has the list asked for anew, at a random moment soon.
-func (r *Router) ListMoved(now int64) {
-	r.backoff, r.watchAt = r.leastBackoff, now+r.chance.below(r.leastBackoff)
-	r.rouse(now)
-}
-
-// ListFailed tells that asking for the list failed, or that the watch broke. The next try comes later
-// each time where asking costs, and at a random moment: routers that fail together don't ask together.
-func (r *Router) ListFailed(now int64) {
-	r.watchAt = now + r.backoff/2 + r.chance.below(r.backoff)
-	r.backoff = min(2*r.backoff, r.mostBackoff)
-	r.rouse(now)
-}
-
 // probe asks a node for its report, unless a probe of it is out.
 func (r *Router) probe(n int32, now int64) {
 	if m := &r.nodes[n]; r.probes && !m.probing {
@@ -779,7 +761,7 @@
 // Wake is the alarm: it looks after the nodes, the groups, and the requests that wait.
 func (r *Router) Wake(now int64) {
 	if r.asking && r.watchAt > 0 && now >= r.watchAt {
-		r.watchAt = 0
+		r.watchAt, r.askedAt = 0, now
 		r.out.Watch()
 	}
 	r.tell(now)
--- a/balance/state.go
+++ b/balance/state.go
@@ -34,8 +34,10 @@
 	borne                                 float64 // work sent over the span to a warm node
 	dearest                               float64 // most worth for work of any read
 	probeBudget                           float64 // probes that may be sent
-	watchAt, backoff                      int64   // of asking for the list
-	leastBackoff, mostBackoff             int64
+	watchAt, askedAt                      int64   // when the list is asked for next, and was last
+	backoff, leastBackoff, mostBackoff    int64   // the next pause between calls for it, by half more or less
+	firstPause                            int64   // at most, before the first call
+	callTime, askWithin                   int64   // how long a call takes at most, and from one's beginning to the next's; 0: no bound
 }
 
 // A step says what to do next with a request once an attempt of it has ended.
--- a/balance/types.go
+++ b/balance/types.go
@@ -56,6 +56,8 @@
 	ListOnAsking    bool
 	ListPushed      bool  // asking costs nothing: what was told is there already
 	ListTold        int64 // after which a change counts as told, whether or not it was heard; 0: never
+	ListSilence     int64 // after which a watch that has fallen silent is seen to be broken
+	ListCall        int64 // after which a call for the list is given up
 	AskEvery        int64
 	ConnectTimeout  int64
 	KeepAlive       int64 // of idle connections
--- a/cmd/sedgestream/main_test.go
+++ b/cmd/sedgestream/main_test.go
@@ -276,7 +276,9 @@
 func TestListChanges(t *testing.T) {
 	primary, a := standin.Pair(t)
 	b := standin.NewNode(t, "copy")
-	f := newFleet(t, primary, a, b).Start(os.Args[0])
+	f := newFleet(t, primary, a, b)
+	f.SetList(`{"version":2,"full":false,"servers":[` + f.Entries() + "]}") // old, and not whole
+	f.Start(os.Args[0])
 	if at := <-f.Watches; at != "7" {
 		t.Fatalf("the watch begins at %s, want that of the known list", at)
 	}
--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -10,47 +10,97 @@
 
 	"go.uber.org/zap"
 
+	"sedgestream/balance"
 	"sedgestream/internal/ring"
 )
 
 // As the protocol page has it: an empty line comes every 2 s while nothing changes. A watch that brings nothing for half as
 // long again has broken, and so has a list that has begun and does not end; a call is answered at once, or not at all. What a
-// silent watch misses counts as told 6 s later: that leaves time for two more calls, one of which may hang as well. Where lists
-// are pushed, what discovery has counts as told at its return: a call without an answer is not waited for alone then.
+// silent watch misses counts as told 6 s later, and whatever discovery has 6 s after it could be reached: docs/told.md has the
+// sum of these times. Where lists are pushed, what discovery has counts as told at its return: a call without an answer is not
+// waited for alone then.
 const (
 	path              = "/discovery/hosts"
 	heartbeatInterval = 2 * time.Second
 	silenceTimeout    = heartbeatInterval + heartbeatInterval/2
-	headTimeout       = heartbeatInterval / 2
+	headTimeout       = heartbeatInterval / 2 // from the beginning of a call to the end of its answer's head
+	wholeTimeout      = heartbeatInterval / 2 // from there to the end of the whole list
 
 	// ToldAfter is after how long a change counts as told, whether or not it was heard.
 	ToldAfter = 3 * heartbeatInterval
 )
 
-// fetch asks for the whole list once. It gives io.EOF once that has come whole; late is told of a call that is not answered
+// SetTimes has settings say that the list has to be asked for, as on sockets it always has, and within which times.
+func SetTimes(c *balance.Settings) {
+	c.ListOnAsking = true
+	c.ListTold = int64(ToldAfter)
+	c.ListSilence = int64(silenceTimeout)
+	c.ListCall = int64(headTimeout)
+}
+
+// hesitation is after how long a call that is not answered has another made beside it; 0: never, where calls are priced. It is
+// a part of the grace, and long enough for few calls to be under way at a time.
+func hesitation(c *balance.Settings) time.Duration {
+	if !c.ListPushed {
+		return 0
+	}
+	return max(headTimeout/16, min(headTimeout, time.Duration(c.DrainGrace))/4)
+}
+
+// progress is how far the lists of an endpoint had come: the version of the last one, and how many there were.
+type progress struct {
+	version int64
+	lists   int
+}
+
+// call is one whose answer has begun.
+type call struct {
+	sock  net.Conn
+	in    *source
+	body  io.Reader
+	watch bool
+	since progress // when it was made, or told its last list
+}
+
+// fetch asks for the whole list once. It gives io.EOF once that has come whole; late is told of a list that is not there
 // at once, if anybody wants to know.
 func (l *Client) fetch(at *endpoint, target string, late func()) error {
-	c, err := l.call(at, target, late)
+	defer l.hesitate(late)()
+	c, err := l.call(at, target, l.progress(at))
 	if err != nil {
 		return err
 	}
 	defer l.closeCall(c.sock)
-	return l.consume(at, c, false)
+	return l.consume(at, c)
 }
 
-// call is one whose answer has begun.
-type call struct {
-	sock net.Conn
-	in   *source
-	body io.Reader
+// openWatch asks for the changes from now on; late is told of a call that is not answered at once.
+func (l *Client) openWatch(at *endpoint, late func()) (*call, error) {
+	defer l.hesitate(late)()
+	since := l.progress(at)
+	c, err := l.call(at, fmt.Sprintf("%s?stream=1&index=%d", path, since.version), since)
+	if err != nil {
+		return nil, err
+	}
+	c.watch = true
+	return c, nil
 }
 
-// call sends one request and reads the head of its answer.
-func (l *Client) call(at *endpoint, target string, late func()) (c *call, err error) {
-	if after := time.Duration(l.hesitateAfter.Load()); late != nil && after > 0 {
-		defer time.AfterFunc(after, late).Stop()
+// hesitate has late called unless it is stopped before.
+func (l *Client) hesitate(late func()) (stop func()) {
+	after := time.Duration(l.hesitateAfter.Load())
+	if late == nil || after == 0 {
+		return func() {}
 	}
-	sock, err := net.DialTimeout("tcp", at.address, time.Duration(l.connectTimeout.Load()))
+	timer := time.AfterFunc(after, late)
+	return func() { timer.Stop() }
+}
+
+// call sends one request and reads the head of its answer. All of that has to happen within headTimeout.
+func (l *Client) call(at *endpoint, target string, since progress) (c *call, err error) {
+	until := time.Now().Add(headTimeout)
+	dialer := net.Dialer{Timeout: time.Duration(l.connectTimeout.Load()), Deadline: until}
+	sock, err := dialer.Dial("tcp", at.address)
 	if err != nil {
 		return nil, err
 	}
@@ -64,38 +114,33 @@
 	}
 	out := ring.New(ring.First, ring.First, nil)
 	fmt.Fprintf(out, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, at.address)
-	sock.SetWriteDeadline(time.Now().Add(time.Duration(l.connectTimeout.Load())))
+	sock.SetWriteDeadline(until)
 	if err = out.Flush(sock); err != nil {
 		return nil, err
 	}
-	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: time.Now().Add(headTimeout)}
+	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: until}
 	body, err := answer(bufio.NewReader(in))
 	if err != nil {
 		return nil, err
 	}
-	return &call{sock, in, body}, nil
+	return &call{sock: sock, in: in, body: body, since: since}, nil
 }
 
 // consume takes in each list of an answer, and gives io.EOF once that is whole.
-func (l *Client) consume(at *endpoint, c *call, watch bool) error {
-	lists := &splitter{r: bufio.NewReaderSize(c.body, ring.First)}
-	lists.begins = func() { c.in.until = time.Now().Add(silenceTimeout) }
-	lists.ends = func() { c.in.until = time.Time{} }
-	if lists.ends(); !watch {
-		lists.begins() // the only one, which comes at once
-	}
+func (l *Client) consume(at *endpoint, c *call) error {
+	lists := l.split(c)
 	for stands := false; ; {
 		text, err := lists.next()
 		switch {
 		case err == nil && len(text) > 0:
-			err = l.apply(at, text, lists.at)
-		case err == nil && watch && !stands: // nothing has changed, and what failed before is over
+			err = l.apply(at, c, text, lists.at)
+		case err == nil && c.watch && !stands: // nothing has changed, and what failed before is over
 			stands = true
 			l.unchanged(at)
 		}
 		if wrong := (*malformedError)(nil); errors.As(err, &wrong) {
 			l.log.Warn("a line from discovery is wrong", zap.String("at", at.address), zap.Int64("byte", wrong.at), zap.Error(err))
-			if watch {
+			if c.watch {
 				l.refetch(at)
 				continue
 			}
@@ -106,6 +151,20 @@
 	}
 }
 
+// split gives the lists of an answer. A watch has to bring each list whole soon after its beginning, and a whole list that was
+// asked for has to come at once.
+func (l *Client) split(c *call) *splitter {
+	lists := &splitter{r: bufio.NewReaderSize(c.body, ring.First), begins: func() {}, ends: func() {}}
+	if !c.watch {
+		c.in.until = time.Now().Add(wholeTimeout)
+		return lists
+	}
+	c.in.until = time.Time{}
+	lists.begins = func() { c.in.until = time.Now().Add(silenceTimeout) }
+	lists.ends = func() { c.in.until = time.Time{} }
+	return lists
+}
+
 // source is the socket through its ring; a read that brings nothing for too long fails, and so does one past the time by
 // which what has begun is to be whole, if there is one.
 type source struct {
@@ -130,29 +189,55 @@
 
 // apply takes in one list, which ends so many bytes into the answer's body. Of a wrong one nothing is taken, and the last
 // list stands.
-func (l *Client) apply(at *endpoint, text []byte, upTo int64) error {
+func (l *Client) apply(at *endpoint, c *call, text []byte, upTo int64) error {
 	list, err := parse(text)
 	if err != nil {
 		return &malformedError{upTo, err}
 	}
-	l.deliver(at, list)
+	l.deliver(at, c, list)
 	return nil
 }
 
 // unchanged takes in that a watch brings empty lines: a list in which nothing has changed.
 func (l *Client) unchanged(at *endpoint) {
 	l.mu.Lock()
-	version := at.version
-	l.mu.Unlock()
-	l.deliver(at, Snapshot{Version: version})
+	defer l.mu.Unlock()
+	if l.at == at {
+		l.dispatcher.List(at.version, false, nil)
+	}
 }
 
-func (l *Client) deliver(at *endpoint, list Snapshot) {
+// deliver tells the module a list, unless a newer one has been told. Changes that are counted anew say that others may have
+// been missed: the whole list is asked for then.
+func (l *Client) deliver(at *endpoint, c *call, list Snapshot) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if list.Version < at.version || l.at != at { // of a call overtaken by the watch, or from where nobody asks any more
+	if l.at != at || at.overtook(c, list) {
 		return
 	}
+	countsAnew := list.Version < at.version
+	if c.watch || list.Full {
+		at.lists++
+	}
 	at.version, at.stale = list.Version, at.stale && !list.Full
+	c.since = progress{at.version, at.lists}
 	l.dispatcher.List(list.Version, list.Full, list.Servers)
+	if countsAnew && !list.Full {
+		l.doubt(at)
+	}
+}
+
+// overtook tells whether a list is older than what the endpoint has told by another call. A lower version alone does not say
+// so: a discovery that has started anew may count from the beginning. On a watch, whose lists come in order, one below the
+// watch's last says that it does; and a whole list that was asked for after the last list came is not older than that one.
+func (at *endpoint) overtook(c *call, list Snapshot) bool {
+	switch {
+	case list.Version >= at.version:
+		return false
+	case c.watch && list.Version < c.since.version:
+		return false
+	case list.Full && c.since.lists == at.lists:
+		return false
+	}
+	return true
 }
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,7 +3,6 @@
 package discovery
 
 import (
-	"fmt"
 	"io"
 	"net"
 	"sync"
@@ -32,10 +31,11 @@
 // endpoint is one address of discovery, until it moves. Versions are counted by each on its own.
 type endpoint struct {
 	address   string
-	version   int64
+	version   int64    // of the last list
+	lists     int      // how many have come
 	stale     bool     // it has not told the whole list yet, or told something wrong since
 	asking    bool     // for the whole list, beside the watch
-	malformed int      // how often something wrong has come
+	malformed int      // how often something wrong, or counted anew, has come
 	watch     net.Conn // the one that stands, if any
 }
 
@@ -47,14 +47,10 @@
 	return l
 }
 
-// Apply has calls keep to settings from now on.
+// Configure has calls keep to settings from now on.
 func (l *Client) Configure(c *balance.Settings) {
 	l.connectTimeout.Store(c.ConnectTimeout)
-	hesitates := int64(0)
-	if c.ListPushed {
-		hesitates = max(int64(headTimeout)/8, min(int64(headTimeout), c.DrainGrace)/4) // so that few are under way at a time
-	}
-	l.hesitateAfter.Store(hesitates)
+	l.hesitateAfter.Store(int64(hesitation(c)))
 }
 
 // Move has the list asked for at another address from now on. What is still on the way from the old one is dropped.
@@ -84,34 +80,32 @@
 		l.mu.Unlock()
 		return
 	}
-	strange := at.stale
+	stale := at.stale
 	l.mu.Unlock()
 	// Guards against calls that are never answered, as discovery was down when they came: another is made beside them, and
 	// whichever is answered first becomes the watch. Each try has the module told once until it is that.
 	var told sync.Once
-	err, failed := io.EOF, func(words string, err error) { told.Do(func() { l.failed(at, words, err) }) }
+	failed := func(words string, err error) { told.Do(func() { l.failed(at, words, err) }) }
 	late := func() { failed("discovery does not answer at once", nil) }
-	if strange {
-		err = l.fetch(at, path, late)
-	}
-	if err == io.EOF {
-		l.mu.Lock()
-		target := fmt.Sprintf("%s?stream=1&index=%d", path, at.version)
-		l.mu.Unlock()
-		var c *call
-		if c, err = l.call(at, target, late); err == nil {
-			if !l.claimWatch(at, c.sock) {
-				l.closeCall(c.sock)
-				return // another was sooner
-			}
-			err = l.consume(at, c, true)
-			l.releaseWatch(at)
-			l.closeCall(c.sock)
-			l.failed(at, "the watch on the list ended", err)
+	if stale {
+		if err := l.fetch(at, path, late); err != io.EOF {
+			failed("the watch on the list ended", err)
 			return
 		}
 	}
-	failed("the watch on the list ended", err)
+	c, err := l.openWatch(at, late)
+	if err != nil {
+		failed("the watch on the list ended", err)
+		return
+	}
+	if !l.claimWatch(at, c.sock) {
+		l.closeCall(c.sock)
+		return // another was sooner
+	}
+	err = l.consume(at, c)
+	l.releaseWatch(at)
+	l.closeCall(c.sock)
+	l.failed(at, "the watch on the list ended", err)
 }
 
 // claimWatch has a connection be the watch, unless there is one.
@@ -143,36 +137,66 @@
 	}
 }
 
-// refetch has the whole list asked for at once, since a wrong one may have held what nobody tells again. The watch goes on
-// beside that. One that was asked for before the last wrong one came, or that the watch has overtaken by changes, is asked for
-// once more. If the whole list does not come, the watch ends, and begins by it when it is opened anew.
+// progress is how far the lists of an endpoint have come.
+func (l *Client) progress(at *endpoint) progress {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return progress{at.version, at.lists}
+}
+
+// refetch has the whole list asked for at once, since a wrong one may have held what nobody tells again.
 func (l *Client) refetch(at *endpoint) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	l.doubt(at)
+}
+
+// doubt has the whole list asked for beside the watch, which goes on. The caller holds the lock.
+func (l *Client) doubt(at *endpoint) {
 	at.malformed++
-	if at.stale = true; l.at != at || at.asking {
+	at.stale = true
+	if l.at != at || at.asking {
 		return
 	}
 	at.asking = true
 	l.tasks.Add(1)
-	go func() {
-		defer l.tasks.Done()
-		err := io.EOF
+	go l.fetchCurrent(at)
+}
+
+// fetchCurrent asks for the whole list. One that was asked for before the last doubt came, or that the watch has overtaken by
+// changes, is asked for once more. If the whole list does not come, the watch ends, and begins by it when it is opened anew.
+func (l *Client) fetchCurrent(at *endpoint) {
+	defer l.tasks.Done()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	late := func() {
 		l.mu.Lock()
 		defer l.mu.Unlock()
-		for doubts, version := -1, int64(-1); err == io.EOF && l.at == at && (doubts != at.malformed || at.stale && version < at.version); {
-			doubts, version = at.malformed, at.version
-			l.mu.Unlock()
-			err = l.fetch(at, path, nil)
-			l.mu.Lock()
-		}
-		if at.asking = false; l.at == at && err != io.EOF {
+		l.endWatch(at)
+	}
+	for {
+		doubts, lists := at.malformed, at.lists
+		l.mu.Unlock()
+		err := l.fetch(at, path, late)
+		l.mu.Lock()
+		if l.at == at && err != io.EOF {
 			l.log.Warn("asking for the whole list after a wrong one failed", zap.Error(err))
-			if at.watch != nil {
-				at.watch.Close()
-			}
+			l.endWatch(at)
 		}
-	}()
+		overtaken := at.stale && at.lists != lists
+		if err != io.EOF || l.at != at || doubts == at.malformed && !overtaken {
+			at.asking = false
+			return
+		}
+	}
+}
+
+// endWatch ends the watch that stands, if any; the next one begins by the whole list. The caller holds the lock.
+func (l *Client) endWatch(at *endpoint) {
+	at.stale = true
+	if at.watch != nil {
+		at.watch.Close()
+	}
 }
 
 // failed tells the module, unless nobody asks there any more.
--- a/internal/service/start.go
+++ b/internal/service/start.go
@@ -94,7 +94,7 @@
 	}
 	section := jsonfield.Object(v, "settings")
 	p.Contract = settings.Read(section)
-	p.Contract.ListOnAsking, p.Contract.ListTold = true, int64(discovery.ToldAfter) // on sockets the list always has to be asked for
+	discovery.SetTimes(&p.Contract.Settings)
 	p.Zone = jsonfield.Str(section, "locality", false)
 	p.Settings = map[string]string{}
 	section.GetObject().Visit(func(key []byte, member *fastjson.Value) { p.Settings[string(key)] = member.String() })
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -39,10 +39,12 @@
 	Exit     chan error
 
 	Calls chan time.Time // when each call came to discovery, if anybody wants to know
+	Fails chan Failure   // what becomes of the calls to come; with none left they are answered
 
 	t      Test
 	mu     sync.Mutex
 	log    strings.Builder
+	list   string       // the whole one; version 2 with all nodes up if it is empty
 	epoch  atomic.Int64 // of watches: those of earlier ones are silent
 	silent atomic.Bool  // calls get no word, not even a head
 }
@@ -64,10 +66,19 @@
 {"name":"once"`, `"consistency":["eventual","mutate","mutate"]`, `"consistency":["eventual","mutate","strong","mutate"]`,
 	`"coldUs":14000000`, `"coldUs":5000000`, `"fallUs":3000000`, `"fallUs":1000000`, `"peers":true`, `"peers":false`).Replace(Contract)
 
+// Failure is how a call to discovery fails.
+type Failure int
+
+// A call is turned away, or gets no word.
+const (
+	TurnedAway Failure = iota
+	NeverAnswered
+)
+
 // NewFleet is one without a router yet.
 func NewFleet(t Test, nodes ...*Node) *Fleet {
 	f := &Fleet{t: t, Name: "n0", Seed: "8c1f30d27a5be964", Version: 7, Nodes: nodes, Contract: Contract, Limits: `{"cores":1,"memory_mb":192,"sockets":1024}`,
-		Watches: make(chan string, 100), Changes: make(chan string), Cut: make(chan struct{}), Exit: make(chan error, 1)}
+		Watches: make(chan string, 100), Changes: make(chan string), Cut: make(chan struct{}), Fails: make(chan Failure, 100), Exit: make(chan error, 1)}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -93,9 +104,19 @@
 		<-r.Context().Done()
 		return
 	}
+	select {
+	case failure := <-f.Fails:
+		if failure == TurnedAway {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		<-r.Context().Done()
+		return
+	default:
+	}
 	if r.FormValue("stream") != "1" {
 		f.Watches <- "whole"
-		fmt.Fprintf(w, `{"version":2,"full":true,"servers":[%s]}`, f.Entries())
+		io.WriteString(w, f.wholeList())
 		return
 	}
 	w.WriteHeader(200)
@@ -121,6 +142,9 @@
 		case <-f.Cut:
 			return
 		case <-time.After(time.Second): // nothing has changed
+			if f.epoch.Load() != epoch {
+				continue
+			}
 			io.WriteString(w, "\n")
 			w.(http.Flusher).Flush()
 		case <-r.Context().Done():
@@ -129,6 +153,22 @@
 	}
 }
 
+// SetList has this be the answer to calls for the whole list.
+func (f *Fleet) SetList(list string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.list = list
+}
+
+func (f *Fleet) wholeList() string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.list == "" {
+		return fmt.Sprintf(`{"version":2,"full":true,"servers":[%s]}`, f.Entries())
+	}
+	return f.list
+}
+
 // FallSilent has the watches that are open bring nothing any more, though their connections stand.
 func (f *Fleet) FallSilent() { f.epoch.Add(1) }
 
