--- /dev/null
+++ b/internal/discovery/client.go
@@ -0,0 +1,236 @@
+// Package discovery asks discovery for the list of nodes: the whole of it, and a watch on its changes, over
+// HTTP/1.1. When to ask is told to it.
+package discovery
+
+import (
+	"io"
+	"net"
+	"sync"
+	"sync/atomic"
+
+	"go.uber.org/zap"
+
+	"sedgestream/balance"
+	"sedgestream/internal/dispatch"
+)
+
+// Client asks discovery, at one address at a time.
+type Client struct {
+	// Nanoseconds for a connection to come up, and after which the module is told that a call is not answered; 0: not before
+	// its end, where calls are no matter of course.
+	connectTimeout, hesitateAfter atomic.Int64
+	dispatcher                    *dispatch.Dispatcher
+	log                           *zap.Logger
+
+	mu    sync.Mutex
+	at    *endpoint             // nil once closed
+	calls map[net.Conn]struct{} // that are under way
+	tasks sync.WaitGroup        // of its own
+}
+
+// endpoint is one address of discovery, until it moves. Versions are counted by each on its own.
+type endpoint struct {
+	address   string
+	version   int64    // of the last list
+	lists     int      // how many have come
+	stale     bool     // it has not told the whole list yet, or told something wrong since
+	asking    bool     // for the whole list, beside the watch
+	malformed int      // how often something wrong, or counted anew, has come
+	watch     net.Conn // the one that stands, if any
+}
+
+// New tells the list that the router had before it started.
+func New(address string, known Snapshot, c *balance.Settings, d *dispatch.Dispatcher, log *zap.Logger) *Client {
+	d.List(known.Version, true, known.Servers)
+	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{}}
+	l.Configure(c)
+	return l
+}
+
+// Configure has calls keep to settings from now on.
+func (l *Client) Configure(c *balance.Settings) {
+	l.connectTimeout.Store(c.ConnectTimeout)
+	l.hesitateAfter.Store(int64(hesitation(c)))
+}
+
+// Move has the list asked for at another address from now on. What is still on the way from the old one is dropped.
+func (l *Client) Move(address string) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.at == nil || l.at.address == address {
+		return
+	}
+	l.at = &endpoint{address: address, stale: true}
+	l.endCalls()
+	l.dispatcher.ListMoved()
+}
+
+func (l *Client) endCalls() {
+	for sock := range l.calls {
+		sock.Close()
+	}
+}
+
+// Watch follows the changes until the watch ends, and tells the module then. A discovery that has just become the one
+// to ask tells the whole list first: it may count its versions otherwise than the one before.
+func (l *Client) Watch() {
+	l.mu.Lock()
+	at := l.at
+	if at == nil || at.watch != nil {
+		l.mu.Unlock()
+		return
+	}
+	stale := at.stale
+	l.mu.Unlock()
+	// Guards against calls that are never answered, as discovery was down when they came: another is made beside them, and
+	// whichever is answered first becomes the watch. Each try has the module told once until it is that.
+	var told sync.Once
+	failed := func(words string, err error) { told.Do(func() { l.failed(at, words, err) }) }
+	late := func() { failed("discovery does not answer at once", nil) }
+	if stale {
+		if err := l.fetch(at, path, late); err != io.EOF {
+			failed("the watch on the list ended", err)
+			return
+		}
+	}
+	c, err := l.openWatch(at, late)
+	if err != nil {
+		failed("the watch on the list ended", err)
+		return
+	}
+	if !l.claimWatch(at, c.sock) {
+		l.closeCall(c.sock)
+		return // another was sooner
+	}
+	err = l.consume(at, c)
+	l.releaseWatch(at)
+	l.closeCall(c.sock)
+	l.failed(at, "the watch on the list ended", err)
+}
+
+// claimWatch has a connection be the watch, unless there is one.
+func (l *Client) claimWatch(at *endpoint, sock net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if at.watch == nil {
+		at.watch = sock
+	}
+	return at.watch == sock
+}
+
+func (l *Client) releaseWatch(at *endpoint) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	at.watch = nil
+}
+
+// Lookup asks once for the whole list.
+func (l *Client) Lookup() {
+	l.mu.Lock()
+	at := l.at
+	l.mu.Unlock()
+	if at == nil {
+		return
+	}
+	if err := l.fetch(at, path, nil); err != nil && err != io.EOF {
+		l.failed(at, "asking for the list failed", err)
+	}
+}
+
+// progress is how far the lists of an endpoint have come.
+func (l *Client) progress(at *endpoint) progress {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	return progress{at.version, at.lists}
+}
+
+// refetch has the whole list asked for at once, since a wrong one may have held what nobody tells again.
+func (l *Client) refetch(at *endpoint) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.doubt(at)
+}
+
+// doubt has the whole list asked for beside the watch, which goes on. The caller holds the lock.
+func (l *Client) doubt(at *endpoint) {
+	at.malformed++
+	at.stale = true
+	if l.at != at || at.asking {
+		return
+	}
+	at.asking = true
+	l.tasks.Add(1)
+	go l.fetchCurrent(at)
+}
+
+// fetchCurrent asks for the whole list. One that was asked for before the last doubt came, or that the watch has overtaken by
+// changes, is asked for once more. If the whole list does not come, the watch ends, and begins by it when it is opened anew.
+func (l *Client) fetchCurrent(at *endpoint) {
+	defer l.tasks.Done()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	late := func() {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		l.endWatch(at)
+	}
+	for {
+		doubts, lists := at.malformed, at.lists
+		l.mu.Unlock()
+		err := l.fetch(at, path, late)
+		l.mu.Lock()
+		if l.at == at && err != io.EOF {
+			l.log.Warn("asking for the whole list after a wrong one failed", zap.Error(err))
+			l.endWatch(at)
+		}
+		overtaken := at.stale && at.lists != lists
+		if err != io.EOF || l.at != at || doubts == at.malformed && !overtaken {
+			at.asking = false
+			return
+		}
+	}
+}
+
+// endWatch ends the watch that stands, if any; the next one begins by the whole list. The caller holds the lock.
+func (l *Client) endWatch(at *endpoint) {
+	at.stale = true
+	if at.watch != nil {
+		at.watch.Close()
+	}
+}
+
+// failed tells the module, unless nobody asks there any more.
+func (l *Client) failed(at *endpoint, words string, err error) {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.at == at {
+		l.log.Warn(words, zap.Error(err))
+		l.dispatcher.ListFailed()
+	}
+}
+
+// Close ends the watch, and whatever else is being asked.
+func (l *Client) Close() {
+	l.mu.Lock()
+	l.at = nil
+	l.endCalls()
+	l.mu.Unlock()
+	l.tasks.Wait()
+}
+
+// register tells whether the list is still asked for there; the call is then among those that Close and Move end.
+func (l *Client) register(at *endpoint, sock net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.at == at {
+		l.calls[sock] = struct{}{}
+	}
+	return l.at == at
+}
+
+func (l *Client) closeCall(sock net.Conn) {
+	sock.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	delete(l.calls, sock)
+}
