--- a/balance/balance.go
+++ b/balance/balance.go
@@ -1,8 +1,7 @@
 // Package balance decides where each request goes, when it goes again and how it ends. To call it: Open a
-// router, tell it the list (Listing, Member, Listed, ListFailed, ListMoved), its requests (Reserve, Accept, Left),
-// the endings of their attempts (Ended) and of probes (Probed), and its alarm (Wake). It answers by calls on
-// Actions; that interface and the settings stand in types.go, what a router keeps in state.go, and when it asks for
-// the list in asking.go.
+// router, tell it the list (Listing, Member, Listed, ListFailed, ListMoved), its requests (Reserve, Accept,
+// Left), the endings of their attempts (Ended) and of probes (Probed), and its alarm (Wake). It answers by
+// calls on Actions; that interface and the settings stand in types.go, what a router keeps in state.go.
 //
 // The ordinary path is that of docs/design.md. Beside the design stand six mechanisms:
 //  1. room: how many attempts a node can hold so that they take half their target latency on average.
@@ -28,18 +27,20 @@
 	tooLate   = 3 * ease // what an attempt counts as that is late and not answered
 	quick     = 1.0 / 8  // weight of a new figure in a running mean
 	slow      = quick / 4
-	distrust  = 3       // failures in a row for a node to be ejected
-	passes    = 2       // an attempt that its node has passed over so many times is overdue
-	coldPart  = 0.7     // of what pushes a cold node over that all routers together may send it
-	farther   = 1.0 / 8 // of its weight that a node of another zone counts
-	sweeps    = 16      // in the shortest target latency
-	holdShare = 0.2     // of a request's time for which it may be held
-	spare     = 0.5     // part of the room that second attempts and reads strange to a primary may fill
-	calm      = 0.9     // busy cores of a laggard that still gets long reads
-	unseen    = 8.0     // attempts on their way to a node that no news show yet, where many routers send
-	stir      = 2.0     // attempts more or less at a node than told that are worth telling
-	tells     = 1.0 / 8 // attempts of this router at a node, on average, for its own counts to tell much
-	probing   = 2.0     // probes for a request, when many routers share the traffic
+	distrust  = 3        // failures in a row for a node to be ejected
+	passes    = 2        // an attempt that its node has passed over so many times is overdue
+	coldPart  = 0.7      // of what pushes a cold node over that all routers together may send it
+	farther   = 1.0 / 8  // of its weight that a node of another zone counts
+	sweeps    = 16       // in the shortest target latency
+	holdShare = 0.2      // of a request's time for which it may be held
+	spare     = 0.5      // part of the room that second attempts and reads strange to a primary may fill
+	calm      = 0.9      // busy cores of a laggard that still gets long reads
+	unseen    = 8.0      // attempts on their way to a node that no news show yet, where many routers send
+	stir      = 2.0      // attempts more or less at a node than told that are worth telling
+	tells     = 1.0 / 8  // attempts of this router at a node, on average, for its own counts to tell much
+	probing   = 2.0      // probes for a request, when many routers share the traffic
+	callsLost = 2        // calls for the list that may fail in a row without a change being heard too late
+	busyRoom  = 1.0 / 12 // of the time after which a change counts as told: left to a busy machine
 )
 
 var opened = room{size: firstRoom, opening: true}
@@ -96,6 +97,53 @@
 	return c.LongestAbsence
 }
 
+// boundPauses sets the pauses between calls for the list. Where a change counts as told after a while, what a
+// watch that has fallen silent misses, and what discovery has at its return, is heard before that, though
+// calls fail. An alarm may ring a sweep late.
+func (r *Router) boundPauses(c *Settings) {
+	r.firstPause, r.leastBackoff, r.mostBackoff = c.AskEvery/20, c.AskEvery/20, c.AskEvery/2
+	r.askWithin, r.callTime = 0, c.ListCall
+	told := c.ListTold - int64(busyRoom*float64(c.ListTold))
+	pauses := max(told-c.ListSilence-callsLost*c.ListCall-(callsLost+1)*r.sweep, 0)
+	if c.ListPushed { // asking costs nothing: all pauses are alike, well within the grace left at a return
+		least := min(c.AskEvery/20, r.grace/4)
+		if c.ListTold > 0 {
+			least = min(least, pauses*2/3/(callsLost+1)) // each takes up to half as much again by chance
+		}
+		r.firstPause, r.leastBackoff, r.mostBackoff = least, least, least
+	} else if c.ListTold > 0 {
+		// Half for the first pause, which parts routers whose watches break together. The two behind it double,
+		// and each takes up to half as much again by chance: 3/2 x (1 + 2) times the least.
+		r.firstPause = min(r.firstPause, pauses/2)
+		r.leastBackoff = min(r.leastBackoff, pauses/9)
+		r.askWithin = max(told/(callsLost+1)-r.sweep, c.ListCall)
+	}
+}
+
+// ListMoved has the list asked for anew, at a random moment soon.
+func (r *Router) ListMoved(now int64) {
+	r.backoff = r.leastBackoff
+	r.watchAt = now + r.chance.below(r.firstPause)
+	r.rouse(now)
+}
+
+// ListFailed tells that asking for the list failed, or that the watch broke. The next try comes later each
+// time where asking costs, and at a random moment: routers that fail together don't ask together.
+func (r *Router) ListFailed(now int64) {
+	lasted := now - r.askedAt
+	if r.askWithin > 0 && lasted > r.callTime*3/2 { // it was answered, and the watch has broken
+		r.ListMoved(now)
+		return
+	}
+	backoff := min(r.backoff, r.mostBackoff)
+	if r.askWithin > 0 { // from the beginning of the call that has failed to that of the next
+		backoff = min(backoff, max(r.askWithin-lasted, 0)*2/3)
+	}
+	r.watchAt = now + backoff/2 + r.chance.below(backoff)
+	r.backoff = min(2*r.backoff, r.mostBackoff)
+	r.rouse(now)
+}
+
 // probe asks a node for its report, unless a probe of it is out.
 func (r *Router) probe(n int32, now int64) {
 	if m := &r.nodes[n]; r.probes && !m.probing {
@@ -111,7 +159,8 @@
 	if r.isTold(now) {
 		quiet = max(quiet, r.fade)
 	}
-	if r.probeBudget >= 1 && now-m.shownAt >= quiet && now-m.probed >= quiet && now >= m.ejectedUntil && r.open(m) {
+	due := now-m.shownAt >= quiet && now-m.probed >= quiet
+	if due && r.probeBudget >= 1 && now >= m.ejectedUntil && r.open(m) {
 		r.probeBudget--
 		r.probe(n, now)
 	}
@@ -323,7 +372,8 @@
 	j := &r.requests[p]
 	k, t, first := &j.attempts[leg], &r.classes[j.class], j.mayHaveRun(leg)
 	m := &r.nodes[k.node]
-	return r.Admits(now, int(k.node)) && (first == nil || t.Repeat != Deduplicated || now <= first.sent+t.Window) &&
+	inWindow := first == nil || t.Repeat != Deduplicated || now <= first.sent+t.Window
+	return inWindow && r.Admits(now, int(k.node)) &&
 		(r.check || t.Need >= Fresh || m.role == Primary || r.holds(m, j, now))
 }
 
@@ -431,21 +481,6 @@
 	return r.warmth(m, now) * r.perSpan * r.borne * m.weight
 }
 
-// Share is that of a node, what this router could use of it, its part of what it sends the others, and
-// the least that any request takes. No share: it is not young.
-func (r *Router) Share(now int64, n int) (share, want, least float64) {
-	if m := &r.nodes[n]; m.group >= 0 && r.warmth(m, now) < 1 && r.open(m) {
-		r.rouse(now)
-		share, want, least = r.ownShare(m, now), r.borne*m.weight, math.MaxFloat64
-		for i := range r.classes {
-			if t := &r.classes[i]; !t.retired {
-				least = min(least, t.usual)
-			}
-		}
-	}
-	return share, max(want, least), least
-}
-
 // Eject sets a replica aside until then, by what many routers have seen.
 func (r *Router) Eject(now int64, n int, until int64) {
 	if m := &r.nodes[n]; m.role != Primary {
@@ -623,31 +658,6 @@
 	}
 }
 
-// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold.
-func (m *node) alive(now int64) {
-	if m.heard = now; m.unreached {
-		m.unreached, m.started = false, now
-	}
-}
-
-// reported takes in a report. A primary stands at the time of its report, so its reports show how old
-// reports are; a replica's is no older than its position, and its lag is less by that age.
-func (r *Router) reported(m *node, now int64, rep Report) {
-	if !rep.Given {
-		return
-	}
-	m.noted(now, rep.Role, rep.Position, rep.Position)
-	m.busy, m.shown = rep.Busy, rep.Held
-	if rep.Held < 0 { // as many as keep a queue so busy on average
-		m.shown = min(firstRoom, rep.Busy/max(1-rep.Busy, 1/firstRoom))
-	}
-	m.shownAt = now
-	if rep.Role == Primary && rep.Position > 0 {
-		r.age += int64(quick * float64(now-rep.Position-r.age))
-	}
-	m.lag -= min(m.lag, r.age)
-}
-
 // failed counts failures and, when there are too many, sets the node aside for a fixed time and a random
 // part, so that routers don't return together. A router with few attempts takes one for three, and stays away
 // for longer, as all routers' tries add up: guards against nodes that hang or age among hundreds of routers.
@@ -800,7 +810,8 @@
 			r.waiting = append(r.waiting, Place(i))
 		}
 	}
-	slices.SortFunc(r.waiting, func(a, b Place) int { return cmp.Compare(r.requests[a].limit, r.requests[b].limit) })
+	byLimit := func(a, b Place) int { return cmp.Compare(r.requests[a].limit, r.requests[b].limit) }
+	slices.SortFunc(r.waiting, byLimit)
 	for _, p := range r.waiting {
 		r.requests[p].held = false
 		r.place(&r.requests[p], now)
@@ -835,7 +846,8 @@
 			}
 			k.late = k.lost || passed < passes
 		}
-		waits = waits || m.ejectedUntil <= now && (now-k.sent < overdue || j.terms.CopyAfter == 0 && passed < passes)
+		inTime := now-k.sent < overdue || j.terms.CopyAfter == 0 && passed < passes
+		waits = waits || m.ejectedUntil <= now && inTime
 	}
 	return waits
 }
--- a/balance/state.go
+++ b/balance/state.go
@@ -373,3 +373,43 @@
 	m := &r.nodes[n]
 	return now < m.ejectedUntil && m.failures >= distrust, m.served > 0 && now-m.served < span
 }
+
+// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold.
+func (m *node) alive(now int64) {
+	if m.heard = now; m.unreached {
+		m.unreached, m.started = false, now
+	}
+}
+
+// reported takes in a report. A primary stands at the time of its report, so its reports show how old
+// reports are; a replica's is no older than its position, and its lag is less by that age.
+func (r *Router) reported(m *node, now int64, rep Report) {
+	if !rep.Given {
+		return
+	}
+	m.noted(now, rep.Role, rep.Position, rep.Position)
+	m.busy, m.shown = rep.Busy, rep.Held
+	if rep.Held < 0 { // as many as keep a queue so busy on average
+		m.shown = min(firstRoom, rep.Busy/max(1-rep.Busy, 1/firstRoom))
+	}
+	m.shownAt = now
+	if rep.Role == Primary && rep.Position > 0 {
+		r.age += int64(quick * float64(now-rep.Position-r.age))
+	}
+	m.lag -= min(m.lag, r.age)
+}
+
+// Share is that of a node, what this router could use of it, its part of what it sends the others, and
+// the least that any request takes. No share: it is not young.
+func (r *Router) Share(now int64, n int) (share, want, least float64) {
+	if m := &r.nodes[n]; m.group >= 0 && r.warmth(m, now) < 1 && r.open(m) {
+		r.rouse(now)
+		share, want, least = r.ownShare(m, now), r.borne*m.weight, math.MaxFloat64
+		for i := range r.classes {
+			if t := &r.classes[i]; !t.retired {
+				least = min(least, t.usual)
+			}
+		}
+	}
+	return share, max(want, least), least
+}
