--- /dev/null
+++ b/internal/descriptors/descriptors.go
@@ -0,0 +1,58 @@
+// Package descriptors has the process keep to the file descriptors that it may hold, and has connections come up though
+// others have used these up.
+package descriptors
+
+import (
+	"context"
+	"errors"
+	"net"
+	"syscall"
+	"time"
+)
+
+// A connection that finds no descriptor is tried again, so often and after such pauses: by then whoever made room has ended.
+const (
+	dialTries = 20
+	dialPause = 5 * time.Millisecond
+)
+
+// Available is how many descriptors the process may hold: as many as are configured, or fewer where the system's own limit
+// is lower.
+func Available(configured int) int {
+	var limit syscall.Rlimit
+	if syscall.Getrlimit(syscall.RLIMIT_NOFILE, &limit) != nil || limit.Cur >= uint64(configured) {
+		return configured
+	}
+	return int(limit.Cur)
+}
+
+// IsExhausted tells whether a call failed because this process, or this machine, has no descriptor or no buffer left. That
+// says nothing of the other side.
+func IsExhausted(err error) bool {
+	return errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) ||
+		errors.Is(err, syscall.ENOBUFS) || errors.Is(err, syscall.ENOMEM)
+}
+
+// Dialer connects. Where no descriptor is left it has others make room. The nil Dialer asks nobody to.
+type Dialer struct {
+	MakeRoom func()
+}
+
+// Dial connects to a TCP address within the time given.
+func (d *Dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
+	var dialer net.Dialer
+	for try := 1; ; try++ {
+		conn, err := dialer.DialContext(ctx, "tcp", address)
+		if err == nil || !IsExhausted(err) || try == dialTries {
+			return conn, err
+		}
+		if d != nil && d.MakeRoom != nil {
+			d.MakeRoom()
+		}
+		select {
+		case <-ctx.Done():
+			return nil, err // that no descriptor was left, and not that time is over
+		case <-time.After(dialPause):
+		}
+	}
+}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -2,21 +2,14 @@
 package service
 
 import (
-	"errors"
 	"fmt"
-	"math"
-	"net"
 	"os"
-	"runtime"
-	"runtime/debug"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 
-	"sedgestream/internal/decide/members"
 	"sedgestream/internal/decide/terms"
 	"sedgestream/internal/discovery"
 	"sedgestream/internal/dispatch"
@@ -24,9 +17,7 @@
 	"sedgestream/internal/frontend"
 	"sedgestream/internal/member"
 	"sedgestream/internal/peer"
-	"sedgestream/internal/ring"
 	"sedgestream/internal/termsfile"
-	"sedgestream/internal/tierfile"
 	"sedgestream/internal/upstream"
 )
 
@@ -50,17 +41,6 @@
 	stillOwed   = 700 * time.Millisecond
 )
 
-// Of the descriptors, some are for the listener, discovery, datagrams and the runtime; clients and nodes
-// share the rest. For their requests clients hold at most a third of all, as the platform's page on service has it. Of the
-// memory, a part is the runtime's to stay under, and a part of that for large values.
-const (
-	ownDescriptors = 16
-	clientsShare   = 0.5
-	askersShare    = 1.0 / 3
-	heapShare      = 0.8
-	valuesShare    = 0.3
-)
-
 // Service is one router.
 type Service struct {
 	log     *zap.Logger
@@ -150,100 +130,6 @@
 	return nil
 }
 
-func (s *Service) start() (err error) {
-	if s.posting, err = ReadPosting(os.Getenv); err != nil {
-		return err
-	}
-	p, c := s.posting, s.posting.Contract
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
-	heap := int64(heapShare * float64(p.Memory))
-	debug.SetMemoryLimit(heap)
-	// One each: a long query keeps its room until its answer has come, which takes room too.
-	values := int64(valuesShare / 2 * float64(heap))
-	shared := max(2, p.Descriptors-ownDescriptors)
-	clients := max(1, int(clientsShare*float64(shared)))
-
-	s.nodes = upstream.New(&c.Settings, upstream.Limits{Connections: shared - clients, Budget: ring.NewBudget(values)}, s.log)
-	s.desk = dispatch.Open(c, p.Seed, s.nodes, s.log)
-	s.nodes.Dispatcher = s.desk
-	if s.files.Tier != "" {
-		tier, err := tierfile.Load(s.files.Tier)
-		if err != nil {
-			return fmt.Errorf("the tier is wrong:\n%w", err)
-		}
-		if err = s.join(tier); err != nil {
-			return err
-		}
-		if s.files.Forward {
-			post := forward.Post{Name: p.Name, Planners: tier.Planners, Term: tier.Term, Period: tier.Period, Loads: tier.Loads}
-			if s.member != nil {
-				post.Holds, post.Routers = s.member.Holds, s.member.Routers
-				if tier.Loads {
-					post.Tell = s.member.TellLoads
-				}
-			}
-			s.links = forward.New(post, s.desk, s.log)
-			if s.member != nil && tier.Loads {
-				s.member.Loads(s.links.Heard)
-			}
-		}
-	}
-	s.list = discovery.New(p.Discovery, p.Known, &c.Settings, s.desk, s.log)
-	book, err := s.readTerms(p, nil)
-	if err != nil {
-		return fmt.Errorf("the terms are wrong:\n%w", err)
-	}
-	s.desk.Terms(book)
-	if err = s.talk(c.RoutersTalk); err != nil {
-		return err
-	}
-	listener, err := net.Listen("tcp", p.Listen)
-	if err != nil {
-		return err
-	}
-	s.intake = frontend.New(listener, s.desk, s.nodes, frontend.Limits{Connections: clients,
-		Askers: int(askersShare * float64(p.Descriptors)), Budget: ring.NewBudget(values)}, s.log)
-	s.task(s.carryOut)
-	s.task(s.intake.Serve)
-	if s.links != nil {
-		s.task(s.links.Serve)
-	}
-	if s.member != nil {
-		s.task(s.member.Serve)
-	}
-	return nil
-}
-
-// join has the router be a member of the fleet, if the tier says that routers are.
-func (s *Service) join(tier *tierfile.Tier) (err error) {
-	if !tier.Members {
-		return nil
-	}
-	kind := members.Router
-	if s.files.Forward {
-		kind = members.Forwarder
-	}
-	_, port, _ := net.SplitHostPort(s.files.Listen)
-	for try := 1; ; try++ {
-		s.member, err = member.New(member.Post{Fleet: tier.Fleet, Name: s.posting.Name, Zone: s.posting.Zone, Kind: kind, Listen: s.files.Listen,
-			Advertise: s.files.Advertise, Seeds: tier.Seeds, Period: tier.Probe, Forget: tier.Forget}, s.log, nil)
-		if err != nil {
-			return fmt.Errorf("members: %w", err)
-		}
-		if err = s.member.Listen(); err == nil {
-			return nil
-		}
-		s.member.Close()
-		// A port that is free for datagrams may be taken for connections; of any port, another will do.
-		if port != "0" || try == mostPorts || !errors.Is(err, syscall.EADDRINUSE) {
-			return fmt.Errorf("members: %w", err)
-		}
-	}
-}
-
-// mostPorts is how many ports are tried where any free one will do.
-const mostPorts = 20
-
 // talk opens the address for other routers' words, or closes it, unless it is so already or there is none.
 func (s *Service) talk(on bool) error {
 	peers, p := s.peers.Load(), s.posting
--- /dev/null
+++ b/internal/service/startup.go
@@ -0,0 +1,191 @@
+package service
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"syscall"
+
+	"sedgestream/internal/decide/members"
+	"sedgestream/internal/discovery"
+	"sedgestream/internal/dispatch"
+	"sedgestream/internal/forward"
+	"sedgestream/internal/frontend"
+	"sedgestream/internal/member"
+	"sedgestream/internal/ring"
+	"sedgestream/internal/tierfile"
+	"sedgestream/internal/upstream"
+)
+
+// Of the descriptors, some are for the listener, discovery, datagrams and the runtime; clients and nodes
+// share the rest. For their requests clients hold at most a third of all, as the platform's page on service has it. Of the
+// memory, a part is the runtime's to stay under, and a part of that for large values.
+const (
+	ownDescriptors = 16
+	clientsShare   = 0.5
+	askersShare    = 1.0 / 3
+	heapShare      = 0.8
+	valuesShare    = 0.3
+)
+
+// shares are what clients and nodes may use of the process's limits.
+type shares struct {
+	clients, nodes int   // connections
+	askers         int   // connections of clients that have asked
+	values         int64 // bytes of large values, of clients and of nodes each
+}
+
+// start opens all that the router serves with, in the order in which the steps need each other, and begins to serve.
+func (s *Service) start() (err error) {
+	if s.posting, err = ReadPosting(os.Getenv); err != nil {
+		return err
+	}
+	heap := limitRuntime(s.posting)
+	limits := divide(s.posting, heap)
+	s.openNodes(limits)
+	if err = s.openTier(); err != nil {
+		return err
+	}
+	if err = s.openList(); err != nil {
+		return err
+	}
+	if err = s.talk(s.posting.Contract.RoutersTalk); err != nil {
+		return err
+	}
+	if err = s.openFrontend(limits); err != nil {
+		return err
+	}
+	s.serve()
+	return nil
+}
+
+// limitRuntime has the runtime keep to the cores and the memory of the posting, and gives the heap's size.
+func limitRuntime(p *Posting) (heap int64) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(p.Cores))))
+	heap = int64(heapShare * float64(p.Memory))
+	debug.SetMemoryLimit(heap)
+	return heap
+}
+
+// divide shares descriptors and memory out among clients and nodes.
+func divide(p *Posting, heap int64) shares {
+	shared := max(2, p.Descriptors-ownDescriptors)
+	clients := max(1, int(clientsShare*float64(shared)))
+	return shares{
+		clients: clients,
+		nodes:   shared - clients,
+		askers:  int(askersShare * float64(p.Descriptors)),
+		// One each: a long query keeps its room until its answer has come, which takes room too.
+		values: int64(valuesShare / 2 * float64(heap)),
+	}
+}
+
+// openNodes makes the connections' side and the dispatcher, which need each other.
+func (s *Service) openNodes(limits shares) {
+	p, c := s.posting, s.posting.Contract
+	s.nodes = upstream.New(&c.Settings, upstream.Limits{Connections: limits.nodes, Budget: ring.NewBudget(limits.values)}, s.log)
+	s.desk = dispatch.Open(c, p.Seed, s.nodes, s.log)
+	s.nodes.Dispatcher = s.desk
+}
+
+// openTier has the router take the part that the tier's file names for it, if there is a file.
+func (s *Service) openTier() error {
+	if s.files.Tier == "" {
+		return nil
+	}
+	tier, err := tierfile.Load(s.files.Tier)
+	if err != nil {
+		return fmt.Errorf("the tier is wrong:\n%w", err)
+	}
+	if err = s.join(tier); err != nil {
+		return err
+	}
+	if s.files.Forward {
+		s.follow(tier)
+	}
+	return nil
+}
+
+// join has the router be a member of the fleet, if the tier says that routers are.
+func (s *Service) join(tier *tierfile.Tier) (err error) {
+	if !tier.Members {
+		return nil
+	}
+	kind := members.Router
+	if s.files.Forward {
+		kind = members.Forwarder
+	}
+	_, port, _ := net.SplitHostPort(s.files.Listen)
+	for try := 1; ; try++ {
+		s.member, err = member.New(member.Post{Fleet: tier.Fleet, Name: s.posting.Name, Zone: s.posting.Zone, Kind: kind, Listen: s.files.Listen,
+			Advertise: s.files.Advertise, Seeds: tier.Seeds, Period: tier.Probe, Forget: tier.Forget}, s.log, nil)
+		if err != nil {
+			return fmt.Errorf("members: %w", err)
+		}
+		if err = s.member.Listen(); err == nil {
+			return nil
+		}
+		s.member.Close()
+		// A port that is free for datagrams may be taken for connections; of any port, another will do.
+		if port != "0" || try == mostPorts || !errors.Is(err, syscall.EADDRINUSE) {
+			return fmt.Errorf("members: %w", err)
+		}
+	}
+}
+
+// mostPorts is how many ports are tried where any free one will do.
+const mostPorts = 20
+
+// follow has the router follow the tier's planners.
+func (s *Service) follow(tier *tierfile.Tier) {
+	post := forward.Post{Name: s.posting.Name, Planners: tier.Planners, Term: tier.Term, Period: tier.Period, Loads: tier.Loads}
+	if s.member != nil {
+		post.Holds, post.Routers = s.member.Holds, s.member.Routers
+		if tier.Loads {
+			post.Tell = s.member.TellLoads
+		}
+	}
+	s.links = forward.New(post, s.desk, s.log)
+	if s.member != nil && tier.Loads {
+		s.member.Loads(s.links.Heard)
+	}
+}
+
+// openList has the dispatcher know the list of the posting, and the terms for it.
+func (s *Service) openList() error {
+	p := s.posting
+	s.list = discovery.New(p.Discovery, p.Known, &p.Contract.Settings, s.desk, s.log)
+	book, err := s.readTerms(p, nil)
+	if err != nil {
+		return fmt.Errorf("the terms are wrong:\n%w", err)
+	}
+	s.desk.Terms(book)
+	return nil
+}
+
+// openFrontend listens for clients.
+func (s *Service) openFrontend(limits shares) error {
+	listener, err := net.Listen("tcp", s.posting.Listen)
+	if err != nil {
+		return err
+	}
+	s.intake = frontend.New(listener, s.desk, s.nodes, frontend.Limits{Connections: limits.clients,
+		Askers: limits.askers, Budget: ring.NewBudget(limits.values)}, s.log)
+	return nil
+}
+
+// serve begins the tasks.
+func (s *Service) serve() {
+	s.task(s.carryOut)
+	s.task(s.intake.Serve)
+	if s.links != nil {
+		s.task(s.links.Serve)
+	}
+	if s.member != nil {
+		s.task(s.member.Serve)
+	}
+}
