--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -4,6 +4,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -19,6 +20,7 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/dispatch"
 	"sedgestream/internal/jsonfield"
 	"sedgestream/internal/ring"
@@ -86,6 +88,11 @@
 	dispatcher                    *dispatch.Dispatcher
 	log                           *zap.Logger
 
+	Dialer  *descriptors.Dialer // nil: nobody makes room for a call that finds no descriptor
+	room    chan struct{}       // holds one for each call that is under way
+	life    context.Context     // ends with Close
+	endLife context.CancelFunc
+
 	mu    sync.Mutex
 	at    *endpoint             // nil once closed
 	calls map[net.Conn]struct{} // that are under way
@@ -105,7 +112,9 @@
 // New tells the list that the router had before it started.
 func New(address string, known Snapshot, c *balance.Settings, d *dispatch.Dispatcher, log *zap.Logger) *Client {
 	d.List(known.Version, true, known.Servers)
-	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{}}
+	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{},
+		room: make(chan struct{}, maxCalls)}
+	l.life, l.endLife = context.WithCancel(context.Background())
 	l.Configure(c)
 	return l
 }
@@ -250,6 +259,7 @@
 
 // Close ends the watch, and whatever else is being asked.
 func (l *Client) Close() {
+	l.endLife()
 	l.mu.Lock()
 	l.at = nil
 	l.endCalls()
@@ -269,6 +279,7 @@
 
 func (l *Client) closeCall(sock net.Conn) {
 	sock.Close()
+	l.release()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, sock)
@@ -297,7 +308,7 @@
 	if after := time.Duration(l.hesitateAfter.Load()); late != nil && after > 0 {
 		defer time.AfterFunc(after, late).Stop()
 	}
-	sock, err := net.DialTimeout("tcp", at.address, time.Duration(l.connectTimeout.Load()))
+	sock, err := l.connect(at)
 	if err != nil {
 		return nil, err
 	}
--- /dev/null
+++ b/internal/frontend/descriptors.go
@@ -0,0 +1,23 @@
+package frontend
+
+import "time"
+
+// yieldTime is for how long nobody is accepted once room was made for others: they try again sooner than that. Clients wait in
+// the listener's queue meanwhile.
+const yieldTime = 20 * time.Millisecond
+
+// MakeRoom has a connection end that waits for nothing, as the process has no descriptor left for a connection to a node or to
+// discovery, and lets no client have its descriptor. It tells whether any is ending.
+func (t *Server) MakeRoom() bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.yields = time.Now().Add(yieldTime)
+	return t.closeOldest(false)
+}
+
+// heldBack is how long it is until somebody may be accepted.
+func (t *Server) heldBack() time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return time.Until(t.yields)
+}
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -7,11 +7,11 @@
 	"os"
 	"sync"
 	"sync/atomic"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
 
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/dispatch"
 	"sedgestream/internal/pg"
 	"sedgestream/internal/ring"
@@ -40,6 +40,7 @@
 	draining bool // idle connections are closed
 	closed   bool
 	accepts  bool      // Serve runs
+	yields   time.Time // until when nobody is accepted, as others need the descriptors
 	last     time.Time // once closed, until when those are accepted that had connected, and what has come is read
 }
 
@@ -84,6 +85,7 @@
 	defer t.setAccepting(false)
 	defer t.listener.Close()
 	for t.awaits() {
+		time.Sleep(t.heldBack())
 		sock, err := t.listener.Accept()
 		switch {
 		case errors.Is(err, net.ErrClosed):
@@ -92,10 +94,10 @@
 			return
 		case err != nil:
 			t.log.Warn("accept", zap.Error(err))
-			if errors.Is(err, syscall.EMFILE) || errors.Is(err, syscall.ENFILE) {
+			if descriptors.IsExhausted(err) {
 				t.makeRoom()
 			}
-			time.Sleep(time.Duration(t.dispatcher.Policy().Settings.Tick)) // descriptors are out
+			time.Sleep(acceptPause)
 			continue
 		}
 		c := newClient(t, sock)
@@ -139,6 +141,10 @@
 	return true
 }
 
+// acceptPause is that after accepting has failed: by then whoever made room has ended.
+const acceptPause = 5 * time.Millisecond
+
+// makeRoom has a connection end for a client that can't be accepted.
 func (t *Server) makeRoom() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- /dev/null
+++ b/internal/service/listen.go
@@ -0,0 +1,142 @@
+package service
+
+import (
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"sedgestream/internal/peer"
+)
+
+// At a planned restart the process before may still hold the addresses. A start tries these again, for less than the 30 s that the
+// platform's page gives a router to be ready.
+const (
+	listenTimeout = 25 * time.Second
+	listenPause   = 100 * time.Millisecond
+)
+
+// errStopped is the end of a start that was told to stop.
+var errStopped = errors.New("told to stop while starting")
+
+// isTaken tells whether somebody else holds the address.
+func isTaken(err error) bool { return errors.Is(err, syscall.EADDRINUSE) }
+
+// untilFree opens an address, and tries again while another process holds it, up to listenTimeout or the word to stop.
+func (s *Service) untilFree(what string, open func() error, stops <-chan os.Signal) error {
+	begun, told := time.Now(), false
+	for {
+		err := open()
+		if err == nil && told {
+			s.log.Info("an address is free", zap.String("what", what), zap.Duration("took", time.Since(begun)))
+		}
+		if !isTaken(err) || time.Since(begun) > listenTimeout {
+			return err
+		}
+		if !told {
+			told = true
+			s.log.Warn("an address is taken, trying again", zap.String("what", what), zap.Error(err), zap.Duration("up to", listenTimeout))
+		}
+		select {
+		case <-stops:
+			return errStopped
+		case <-time.After(listenPause):
+		}
+	}
+}
+
+// openListener listens for clients.
+func (s *Service) openListener(stops <-chan os.Signal) (listener net.Listener, err error) {
+	err = s.untilFree("listen", func() (err error) {
+		listener, err = net.Listen("tcp", s.posting.Listen)
+		return err
+	}, stops)
+	return listener, err
+}
+
+// talk opens the address for other routers' words, or closes it, unless it is so already or there is none. The router does
+// without words while another process holds the address: the one before it does, up to its last answer.
+func (s *Service) talk(on bool) error {
+	s.talking.Lock()
+	defer s.talking.Unlock()
+	if !on {
+		s.closePeers()
+		return nil
+	}
+	if s.posting.PeerListen == "" || s.peers.Load() != nil || s.awaitsPeers != nil {
+		return nil
+	}
+	p, me := s.posting, s.posting.Contract.Me
+	listen := func() (*peer.Peers, error) {
+		return peer.Listen(p.PeerListen, p.Peers, p.PeersAll, me, s.desk, s.log)
+	}
+	err := s.openPeers(listen)
+	if isTaken(err) {
+		s.log.Warn("an address is taken, trying again", zap.String("what", "peer_listen"), zap.Error(err))
+		over := make(chan struct{})
+		s.awaitsPeers = over
+		s.task(func() { s.retryPeers(listen, over) })
+		return nil
+	}
+	return err
+}
+
+// openPeers opens the address, and hears what comes there.
+func (s *Service) openPeers(listen func() (*peer.Peers, error)) error {
+	peers, err := listen()
+	if err != nil {
+		return fmt.Errorf("peer_listen: %w", err)
+	}
+	s.peers.Store(peers)
+	s.task(peers.Hear)
+	return nil
+}
+
+// closePeers closes the address, or ends the tries to open it.
+func (s *Service) closePeers() {
+	if s.awaitsPeers != nil {
+		close(s.awaitsPeers)
+		s.awaitsPeers = nil
+	}
+	if peers := s.peers.Swap(nil); peers != nil {
+		peers.Close()
+	}
+}
+
+// retryPeers tries until the address is open, or nobody wants it any more.
+func (s *Service) retryPeers(listen func() (*peer.Peers, error), over chan struct{}) {
+	for {
+		select {
+		case <-over:
+			return
+		case <-time.After(listenPause):
+		}
+		if s.retryPeersOnce(listen, over) {
+			return
+		}
+	}
+}
+
+// retryPeersOnce tells whether there is nothing left to try.
+func (s *Service) retryPeersOnce(listen func() (*peer.Peers, error), over chan struct{}) bool {
+	s.talking.Lock()
+	defer s.talking.Unlock()
+	if s.awaitsPeers != over { // it was called off just now
+		return true
+	}
+	err := s.openPeers(listen)
+	if isTaken(err) {
+		return false
+	}
+	s.awaitsPeers = nil
+	if err != nil {
+		s.log.Warn("words to other routers", zap.Error(err))
+	} else {
+		s.log.Info("an address is free", zap.String("what", "peer_listen"))
+	}
+	return true
+}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -2,7 +2,7 @@
 package service
 
 import (
-	"fmt"
+	"errors"
 	"os"
 	"sync"
 	"sync/atomic"
@@ -57,6 +57,9 @@
 	peers   atomic.Pointer[peer.Peers] // nil while routers don't talk
 	stop    chan struct{}
 	tasks   sync.WaitGroup
+
+	talking     sync.Mutex
+	awaitsPeers chan struct{} // ends the tries to open the address for peers; nil while there are none
 }
 
 // Files are the paths of files that operators own; "" where there is none.
@@ -115,7 +118,11 @@
 // Run serves until one of the stops has come and all that was taken has been answered.
 func (s *Service) Run(stops <-chan os.Signal) error {
 	s.enter(Starting)
-	if err := s.start(); err != nil {
+	switch err := s.start(stops); {
+	case errors.Is(err, errStopped):
+		s.enter(Gone)
+		return nil
+	case err != nil:
 		return err
 	}
 	s.enter(Serving, zap.String("name", s.posting.Name), zap.String("listen", s.intake.Address()),
@@ -130,24 +137,6 @@
 	return nil
 }
 
-// talk opens the address for other routers' words, or closes it, unless it is so already or there is none.
-func (s *Service) talk(on bool) error {
-	peers, p := s.peers.Load(), s.posting
-	switch {
-	case on && peers == nil && p.PeerListen != "":
-		var err error
-		if peers, err = peer.Listen(p.PeerListen, p.Peers, p.PeersAll, p.Contract.Me, s.desk, s.log); err != nil {
-			return fmt.Errorf("peer_listen: %w", err)
-		}
-		s.peers.Store(peers)
-		s.task(peers.Hear)
-	case !on && peers != nil:
-		s.peers.Store(nil)
-		peers.Close()
-	}
-	return nil
-}
-
 func (s *Service) task(f func()) {
 	s.tasks.Add(1)
 	go func() {
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -1,16 +1,17 @@
 package service
 
 import (
-	"errors"
 	"fmt"
 	"math"
 	"net"
 	"os"
 	"runtime"
 	"runtime/debug"
-	"syscall"
+
+	"go.uber.org/zap"
 
 	"sedgestream/internal/decide/members"
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/discovery"
 	"sedgestream/internal/dispatch"
 	"sedgestream/internal/forward"
@@ -21,8 +22,9 @@
 	"sedgestream/internal/upstream"
 )
 
-// Of the descriptors, some are for the listener, discovery, datagrams and the runtime; clients and nodes
-// share the rest. For their requests clients hold at most a third of all, as the platform's page on service has it. Of the
+// Of the descriptors, some are for the program itself: three standard ones, two of the runtime's poller, the listener, datagrams,
+// a client that is accepted while there is no place for it, a file that is read anew, and six calls to discovery. Clients and
+// nodes share the rest. For their requests clients hold at most a third of all, as the platform's page on service has it. Of the
 // memory, a part is the runtime's to stay under, and a part of that for large values.
 const (
 	ownDescriptors = 16
@@ -39,15 +41,19 @@
 	values         int64 // bytes of large values, of clients and of nodes each
 }
 
-// start opens all that the router serves with, in the order in which the steps need each other, and begins to serve.
-func (s *Service) start() (err error) {
+// start opens all that the router serves with, in the order in which the steps need each other, and begins to serve. It waits for
+// no list and no peer. A word to stop ends it while it waits for an address.
+func (s *Service) start(stops <-chan os.Signal) (err error) {
 	if s.posting, err = ReadPosting(os.Getenv); err != nil {
 		return err
 	}
 	heap := limitRuntime(s.posting)
 	limits := divide(s.posting, heap)
+	if all := descriptors.Available(s.posting.Descriptors); all < s.posting.Descriptors {
+		s.log.Warn("the system allows fewer descriptors than the configuration", zap.Int("configured", s.posting.Descriptors), zap.Int("allowed", all))
+	}
 	s.openNodes(limits)
-	if err = s.openTier(); err != nil {
+	if err = s.openTier(stops); err != nil {
 		return err
 	}
 	if err = s.openList(); err != nil {
@@ -56,7 +62,7 @@
 	if err = s.talk(s.posting.Contract.RoutersTalk); err != nil {
 		return err
 	}
-	if err = s.openFrontend(limits); err != nil {
+	if err = s.openFrontend(limits, stops); err != nil {
 		return err
 	}
 	s.serve()
@@ -73,12 +79,13 @@
 
 // divide shares descriptors and memory out among clients and nodes.
 func divide(p *Posting, heap int64) shares {
-	shared := max(2, p.Descriptors-ownDescriptors)
+	all := descriptors.Available(p.Descriptors)
+	shared := max(2, all-ownDescriptors)
 	clients := max(1, int(clientsShare*float64(shared)))
 	return shares{
 		clients: clients,
 		nodes:   shared - clients,
-		askers:  int(askersShare * float64(p.Descriptors)),
+		askers:  int(askersShare * float64(all)),
 		// One each: a long query keeps its room until its answer has come, which takes room too.
 		values: int64(valuesShare / 2 * float64(heap)),
 	}
@@ -93,7 +100,7 @@
 }
 
 // openTier has the router take the part that the tier's file names for it, if there is a file.
-func (s *Service) openTier() error {
+func (s *Service) openTier(stops <-chan os.Signal) error {
 	if s.files.Tier == "" {
 		return nil
 	}
@@ -101,7 +108,7 @@
 	if err != nil {
 		return fmt.Errorf("the tier is wrong:\n%w", err)
 	}
-	if err = s.join(tier); err != nil {
+	if err = s.join(tier, stops); err != nil {
 		return err
 	}
 	if s.files.Forward {
@@ -111,30 +118,51 @@
 }
 
 // join has the router be a member of the fleet, if the tier says that routers are.
-func (s *Service) join(tier *tierfile.Tier) (err error) {
+func (s *Service) join(tier *tierfile.Tier, stops <-chan os.Signal) error {
 	if !tier.Members {
 		return nil
 	}
-	kind := members.Router
-	if s.files.Forward {
-		kind = members.Forwarder
+	err := s.untilFree("member-listen", func() error { return s.openMember(tier) }, stops)
+	if err != nil && err != errStopped {
+		return fmt.Errorf("members: %w", err)
 	}
-	_, port, _ := net.SplitHostPort(s.files.Listen)
-	for try := 1; ; try++ {
-		s.member, err = member.New(member.Post{Fleet: tier.Fleet, Name: s.posting.Name, Zone: s.posting.Zone, Kind: kind, Listen: s.files.Listen,
-			Advertise: s.files.Advertise, Seeds: tier.Seeds, Period: tier.Probe, Forget: tier.Forget}, s.log, nil)
+	return err
+}
+
+// openMember listens for members. A port that is free for datagrams may be taken for connections; of any port, another will do.
+func (s *Service) openMember(tier *tierfile.Tier) (err error) {
+	for range s.memberPorts() {
+		s.member, err = member.New(s.memberPost(tier), s.log, nil)
 		if err != nil {
-			return fmt.Errorf("members: %w", err)
+			return err
 		}
 		if err = s.member.Listen(); err == nil {
 			return nil
 		}
 		s.member.Close()
-		// A port that is free for datagrams may be taken for connections; of any port, another will do.
-		if port != "0" || try == mostPorts || !errors.Is(err, syscall.EADDRINUSE) {
-			return fmt.Errorf("members: %w", err)
+		if !isTaken(err) {
+			return err
 		}
 	}
+	return err
+}
+
+// memberPost is what the membership is told.
+func (s *Service) memberPost(tier *tierfile.Tier) member.Post {
+	kind := members.Router
+	if s.files.Forward {
+		kind = members.Forwarder
+	}
+	return member.Post{Fleet: tier.Fleet, Name: s.posting.Name, Zone: s.posting.Zone, Kind: kind, Listen: s.files.Listen,
+		Advertise: s.files.Advertise, Seeds: tier.Seeds, Period: tier.Probe, Forget: tier.Forget}
+}
+
+// memberPorts is how many ports are tried at once.
+func (s *Service) memberPorts() int {
+	if _, port, _ := net.SplitHostPort(s.files.Listen); port == "0" {
+		return mostPorts
+	}
+	return 1
 }
 
 // mostPorts is how many ports are tried where any free one will do.
@@ -168,16 +196,26 @@
 }
 
 // openFrontend listens for clients.
-func (s *Service) openFrontend(limits shares) error {
-	listener, err := net.Listen("tcp", s.posting.Listen)
+func (s *Service) openFrontend(limits shares, stops <-chan os.Signal) error {
+	listener, err := s.openListener(stops)
 	if err != nil {
 		return err
 	}
 	s.intake = frontend.New(listener, s.desk, s.nodes, frontend.Limits{Connections: limits.clients,
 		Askers: limits.askers, Budget: ring.NewBudget(limits.values)}, s.log)
+	dialer := &descriptors.Dialer{MakeRoom: s.makeRoom}
+	s.list.Dialer, s.nodes.Dialer = dialer, dialer
 	return nil
 }
 
+// makeRoom has a connection end that waits for nothing, since one to discovery or to a node finds no descriptor: of a client, else
+// to a node.
+func (s *Service) makeRoom() {
+	if !s.intake.MakeRoom() {
+		s.nodes.MakeRoom()
+	}
+}
+
 // serve begins the tasks.
 func (s *Service) serve() {
 	s.task(s.carryOut)
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -25,6 +25,8 @@
 	States   []string // of the nodes in it; up where there is none
 	Contract string   // the settings, as JSON
 	Limits   string
+	Known    string        // the list that the router knows at its start, as JSON; that of the nodes where it is empty
+	PeerAt   string        // where the router hears other routers
 	Args     []string      // of the program
 	Env      []string      // beside the usual one
 	Watches  chan string   // where each watch begins
@@ -37,6 +39,7 @@
 	Address  string // of the router
 	Cmd      *exec.Cmd
 	Exit     chan error
+	Serving  chan string // tells where, once the router serves
 
 	Calls chan time.Time // when each call came to discovery, if anybody wants to know
 
@@ -67,7 +70,7 @@
 // NewFleet is one without a router yet.
 func NewFleet(t Test, nodes ...*Node) *Fleet {
 	f := &Fleet{t: t, Name: "n0", Seed: "8c1f30d27a5be964", Version: 7, Nodes: nodes, Contract: Contract, Limits: `{"cores":1,"memory_mb":192,"sockets":1024}`,
-		Watches: make(chan string, 100), Changes: make(chan string), Cut: make(chan struct{}), Exit: make(chan error, 1)}
+		Watches: make(chan string, 100), Changes: make(chan string), Cut: make(chan struct{}), Exit: make(chan error, 1), Serving: make(chan string, 1), PeerAt: "127.0.0.1:0"}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -82,6 +85,13 @@
 	return f
 }
 
+// Serve has discovery answer at another listener too.
+func (f *Fleet) Serve(l net.Listener) {
+	server := &http.Server{Handler: http.HandlerFunc(f.discovery)}
+	go server.Serve(l)
+	f.t.Cleanup(func() { server.Close() })
+}
+
 func (f *Fleet) discovery(w http.ResponseWriter, r *http.Request) {
 	if r.URL.Path != "/discovery/hosts" {
 		f.t.Errorf("discovery was asked for %s", r.URL)
@@ -155,10 +165,14 @@
 		f.t.Fatal(err)
 	}
 	s, _ := json.Marshal(settings)
+	known := f.Known
+	if known == "" {
+		known = fmt.Sprintf(`{"version":%d,"full":true,"servers":[%s]}`, f.Version, f.Entries(f.States...))
+	}
 	text := fmt.Sprintf(`{"name":%q,"discovery":%q,"seed":%q,"limits":%s,
-"peer_listen":"127.0.0.1:0","peers":["127.0.0.1:9",%q],"peers_all":%q,
-"known":{"version":%d,"full":true,"servers":[%s]},"settings":%s}`, f.Name, f.List.Addr, f.Seed, f.Limits, f.Peer.LocalAddr(),
-		f.Peer.LocalAddr(), f.Version, f.Entries(f.States...), s)
+"peer_listen":%q,"peers":["127.0.0.1:9",%q],"peers_all":%q,
+"known":%s,"settings":%s}`, f.Name, f.List.Addr, f.Seed, f.Limits, f.PeerAt, f.Peer.LocalAddr(),
+		f.Peer.LocalAddr(), known, s)
 	if f.Path == "" {
 		f.Path = filepath.Join(f.t.TempDir(), "config.json")
 	}
@@ -171,6 +185,20 @@
 
 // Start starts the program, which is a router by these arguments and that environment, and waits until it serves.
 func (f *Fleet) Start(program string) *Fleet {
+	f.t.Helper()
+	f.Launch(program)
+	select {
+	case f.Address = <-f.Serving:
+	case err := <-f.Exit:
+		f.t.Fatal("the router ended: ", err, "\n", f.Lines())
+	case <-time.After(Patience):
+		f.t.Fatal("the router does not serve")
+	}
+	return f
+}
+
+// Launch starts the program and waits for nothing.
+func (f *Fleet) Launch(program string) {
 	f.t.Helper()
 	f.Cmd = exec.Command(program, f.Args...)
 	f.Cmd.Env = f.Configure()
@@ -178,7 +206,6 @@
 	if err := f.Cmd.Start(); err != nil {
 		f.t.Fatal(err)
 	}
-	serving := make(chan string, 1)
 	go func() {
 		for lines := bufio.NewScanner(out); lines.Scan(); {
 			f.mu.Lock()
@@ -187,7 +214,7 @@
 			var line struct{ Msg, Listen string }
 			if json.Unmarshal(lines.Bytes(), &line) == nil && line.Msg == "serving" {
 				select {
-				case serving <- line.Listen:
+				case f.Serving <- line.Listen:
 				default: // again, after a reload
 				}
 			}
@@ -200,14 +227,6 @@
 			f.t.Error("the router's log:\n", log)
 		}
 	})
-	select {
-	case f.Address = <-serving:
-	case err := <-f.Exit:
-		f.t.Fatal("the router ended: ", err, "\n", f.Lines())
-	case <-time.After(Patience):
-		f.t.Fatal("the router does not serve")
-	}
-	return f
 }
 
 // Lines is what the router has logged.
--- a/internal/upstream/conn.go
+++ b/internal/upstream/conn.go
@@ -9,6 +9,7 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/pg"
 	"sedgestream/internal/request"
 	"sedgestream/internal/ring"
@@ -24,6 +25,7 @@
 	in, out *ring.Ring
 	since   time.Time // since when it is idle
 	current *delivery // whose ending is not told yet
+	local   bool      // it did not come up for want of descriptors here: no fault of the node
 
 	// Under the lock of nodes.
 	next      *delivery
@@ -88,7 +90,7 @@
 
 // unsent is the ending of an attempt whose last byte was never written.
 func (c *conn) unsent(o *delivery) balance.Outcome {
-	if o.isCanceled() {
+	if o.isCanceled() || c.local {
 		return balance.NotSent
 	}
 	return balance.Unreachable
@@ -115,6 +117,9 @@
 func (c *conn) connect(o *delivery, until time.Time) bool {
 	sock, err := c.nodes.dial(c.address, until)
 	if err != nil {
+		if c.local = descriptors.IsExhausted(err); c.local {
+			c.nodes.log.Warn("no descriptor left for a node connection", zap.String("node", c.node.name), zap.Error(err))
+		}
 		return false
 	}
 	c.sock = sock
--- a/internal/upstream/nodes.go
+++ b/internal/upstream/nodes.go
@@ -12,6 +12,7 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/dispatch"
 	"sedgestream/internal/pg"
 	"sedgestream/internal/request"
@@ -21,11 +22,11 @@
 // Nodes are all nodes that the list has named, with the connections to them.
 type Nodes struct {
 	Dispatcher *dispatch.Dispatcher
+	Dialer     *descriptors.Dialer // nil: nobody makes room for a connection that finds no descriptor
 	log        *zap.Logger
 	budget     *ring.Budget
 	// From the settings, in nanoseconds: how long a connection may take to come up, and how long one stays idle.
 	connect, idle atomic.Int64
-	dialer        net.Dialer
 
 	mu    sync.Mutex
 	nodes []*node
@@ -184,6 +185,13 @@
 	return true
 }
 
+// MakeRoom ends the connection that has been idle longest, as the process has no descriptor left.
+func (s *Nodes) MakeRoom() bool {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.closeOldest()
+}
+
 // Close ends all idle connections.
 func (s *Nodes) Close() {
 	s.mu.Lock()
@@ -266,5 +274,5 @@
 func (s *Nodes) dial(address string, until time.Time) (net.Conn, error) {
 	ctx, cancel := context.WithDeadline(context.Background(), until)
 	defer cancel()
-	return s.dialer.DialContext(ctx, "tcp", address)
+	return s.Dialer.Dial(ctx, address)
 }
