--- a/internal/discovery/call.go
+++ b/internal/discovery/call.go
@@ -2,6 +2,7 @@
 
 import (
 	"bufio"
+	"context"
 	"errors"
 	"fmt"
 	"io"
@@ -96,34 +97,46 @@
 	return func() { timer.Stop() }
 }
 
-// call sends one request and reads the head of its answer. All of that has to happen within headTimeout.
+// call sends one request and reads the head of its answer. All of that has to happen within headTimeout, and before room is needed
+// for a newer call.
 func (l *Client) call(at *endpoint, target string, since progress) (c *call, err error) {
-	until := time.Now().Add(headTimeout)
-	dialer := net.Dialer{Timeout: time.Duration(l.connectTimeout.Load()), Deadline: until}
-	sock, err := dialer.Dial("tcp", at.address)
+	ctx, cancel := context.WithTimeout(l.life, headTimeout)
+	defer cancel()
+	waiting := l.awaitAnswer(cancel)
+	defer l.answered(waiting)
+	sock, err := l.connect(ctx, at)
 	if err != nil {
 		return nil, err
 	}
-	defer func() {
-		if err != nil {
-			l.closeCall(sock)
-		}
-	}()
+	stop := context.AfterFunc(ctx, func() { sock.SetDeadline(ring.Past) })
+	c, err = l.request(at, sock, target)
+	if !stop() && err == nil {
+		err = ctx.Err()
+	}
+	if err != nil {
+		l.closeCall(sock)
+		return nil, err
+	}
+	c.since = since
+	return c, nil
+}
+
+// request writes the request over its connection and reads the head of the answer.
+func (l *Client) request(at *endpoint, sock net.Conn, target string) (*call, error) {
 	if !l.register(at, sock) {
 		return nil, net.ErrClosed
 	}
 	out := ring.New(ring.First, ring.First, nil)
 	fmt.Fprintf(out, "GET %s HTTP/1.1\r\nHost: %s\r\nAccept: application/json\r\n\r\n", target, at.address)
-	sock.SetWriteDeadline(until)
-	if err = out.Flush(sock); err != nil {
+	if err := out.Flush(sock); err != nil {
 		return nil, err
 	}
-	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: until}
+	in := &source{sock: sock, ring: ring.New(ring.First, ring.First, nil), until: time.Now().Add(headTimeout)}
 	body, err := answer(bufio.NewReader(in))
 	if err != nil {
 		return nil, err
 	}
-	return &call{sock: sock, in: in, body: body, since: since}, nil
+	return &call{sock: sock, in: in, body: body}, nil
 }
 
 // consume takes in each list of an answer, and gives io.EOF once that is whole.
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -3,6 +3,7 @@
 package discovery
 
 import (
+	"context"
 	"io"
 	"net"
 	"sync"
@@ -11,6 +12,7 @@
 	"go.uber.org/zap"
 
 	"sedgestream/balance"
+	"sedgestream/internal/descriptors"
 	"sedgestream/internal/dispatch"
 )
 
@@ -22,10 +24,16 @@
 	dispatcher                    *dispatch.Dispatcher
 	log                           *zap.Logger
 
-	mu    sync.Mutex
-	at    *endpoint             // nil once closed
-	calls map[net.Conn]struct{} // that are under way
-	tasks sync.WaitGroup        // of its own
+	Dialer  *descriptors.Dialer // nil: nobody makes room for a call that finds no descriptor
+	room    chan struct{}       // holds one for each call that is under way
+	life    context.Context     // ends with Close
+	endLife context.CancelFunc
+
+	mu         sync.Mutex
+	at         *endpoint             // nil once closed
+	calls      map[net.Conn]struct{} // that are under way
+	unanswered []*unansweredCall     // oldest first
+	tasks      sync.WaitGroup        // of its own
 }
 
 // endpoint is one address of discovery, until it moves. Versions are counted by each on its own.
@@ -42,7 +50,9 @@
 // New tells the list that the router had before it started.
 func New(address string, known Snapshot, c *balance.Settings, d *dispatch.Dispatcher, log *zap.Logger) *Client {
 	d.List(known.Version, true, known.Servers)
-	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{}}
+	l := &Client{dispatcher: d, log: log, at: &endpoint{address: address, version: known.Version}, calls: map[net.Conn]struct{}{},
+		room: make(chan struct{}, maxCalls)}
+	l.life, l.endLife = context.WithCancel(context.Background())
 	l.Configure(c)
 	return l
 }
@@ -211,6 +221,7 @@
 
 // Close ends the watch, and whatever else is being asked.
 func (l *Client) Close() {
+	l.endLife()
 	l.mu.Lock()
 	l.at = nil
 	l.endCalls()
@@ -230,6 +241,7 @@
 
 func (l *Client) closeCall(sock net.Conn) {
 	sock.Close()
+	l.release()
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	delete(l.calls, sock)
