--- a/balance/balance.go
+++ b/balance/balance.go
@@ -46,7 +46,7 @@
 // Open starts a router.
 func Open(c *Settings, seed uint64, out Actions, now int64) *Router {
 	r := &Router{out: out, chance: chance(seed&0x7fffffffffff | 1<<32 | 1), shared: opened,
-		marks: map[uint32][]int32{}, wakeAt: math.MaxInt64, looked: now}
+		marks: map[uint32][]int32{}, wakeAt: math.MaxInt64, looked: now, listTold: c.ListTold}
 	r.Apply(c)
 	r.listen(now)
 	r.ListMoved(now)
@@ -641,10 +641,11 @@
 	}
 }
 
-// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold.
+// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold;
+// warmth holds it to be so until the list would have told.
 func (m *node) alive(now int64) {
 	if m.heard = now; m.unreached {
-		m.unreached, m.started = false, now
+		m.unreached, m.returned = false, now
 	}
 }
 
--- a/balance/balance_test.go
+++ b/balance/balance_test.go
@@ -283,7 +283,7 @@
 		l.r.Probed(l.now, 0, false, Report{})
 	}
 	m := &l.r.nodes[0]
-	if m.ejectedUntil > l.now || m.started > 0 {
+	if m.ejectedUntil > l.now || m.started > 0 || m.returned > 0 {
 		t.Fatalf("%+v", *m)
 	}
 	breaks := func() {
@@ -373,6 +373,35 @@
 	}
 }
 
+// Guards against nodes that were only cut off and count as cold long after the list would have told of a start, and
+// against ones taken for warm before it, or against what it told.
+func TestReturnIsNoStartOnceTheListWouldTell(t *testing.T) {
+	const told = 200 * ms
+	for _, c := range []struct {
+		name            string
+		listTold, after int64
+		listed, warm    bool // listed: the list tells of a start just before the return
+	}{
+		{"before it would tell", told, told - 1, false, false},
+		{"once it would have told", told, told, false, true},
+		{"told of a start", told, told, true, false},
+		{"nothing said of how late it tells", 0, told, false, false},
+	} {
+		contract := shop()
+		contract.ListTold, contract.ColdFor = c.listTold, 10*told
+		l := trio(contract, 0, 0)
+		m := &l.r.nodes[2]
+		m.unreached = true
+		l.heard(2, Replica, l.now)
+		if c.listed {
+			l.r.Member(l.now, 2, int(m.group), int(m.zone), m.mark, In, 1, l.now-ms, false)
+		}
+		if warm := l.r.warmth(m, l.now+c.after) == 1; warm != c.warm {
+			t.Errorf("%s: warm %v, want %v", c.name, warm, c.warm)
+		}
+	}
+}
+
 // Guards against many routers that can't tell a full node by their own attempts: what nodes show counts, and fades.
 func TestShownCrowdCounts(t *testing.T) {
 	c := shop()
--- a/balance/state.go
+++ b/balance/state.go
@@ -20,6 +20,7 @@
 	sweep, refresh, useful, away, age     int64 // age: of reports, on average
 	looked, wakeAt                        int64 // when it last looked after what goes by time, and when its alarm rings
 	ejectFor, grace, coldFor, span        int64
+	listTold                              int64 // within which the list tells of a start; 0: not said
 	startShare, perSpan                   float64
 	peers, speaking, goneMayServe         bool
 	echoed                                bool // others heard what it said last
@@ -73,7 +74,8 @@
 	weight                       float64
 	listed                       bool  // as primary
 	word                         int   // of the list that last named it
-	told, started                int64 // when it was said to leave, and when it started (0: long ago)
+	told, started                int64 // when it was said to leave, and when it started by the list (0: long ago)
+	returned                     int64 // when it last answered after it had been out of reach; 0: never was
 	position, heardOf, lag       int64 // a lower bound, when it was last told, and how far behind then
 	roleAt, missed               int64 // when its role was true, and when it last turned a read away
 	heard                        int64 // when it last answered, or the oldest of its attempts left
@@ -304,10 +306,21 @@
 
 // warmth is the part of its strength that a node has by the time since its start.
 func (r *Router) warmth(m *node, now int64) float64 {
-	if m.started == 0 || now >= m.started+r.coldFor {
+	started := r.startOf(m, now)
+	if started == 0 || now >= started+r.coldFor {
 		return 1
 	}
-	return r.startShare + (1-r.startShare)*float64(max(now-m.started, 0))/float64(r.coldFor)
+	return r.startShare + (1-r.startShare)*float64(max(now-started, 0))/float64(r.coldFor)
+}
+
+// startOf is when a node started by the list, or its return from out of reach while the list may not have told of a
+// start yet. Guards against starts that the list tells late; where it says within which time it tells, a node that
+// was only cut off counts as warm after that. It harms if the list tells later still.
+func (r *Router) startOf(m *node, now int64) int64 {
+	if r.listTold > 0 && now >= m.returned+r.listTold {
+		return m.started
+	}
+	return max(m.started, m.returned)
 }
 
 // strength is the node's weight, and what it has proved to be beside that, which fades where nobody says so any more.
