--- a/balance/balance.go
+++ b/balance/balance.go
@@ -48,7 +48,7 @@
 // Open starts a router.
 func Open(c *Settings, seed uint64, out Actions, now int64) *Router {
 	r := &Router{out: out, chance: chance(seed&0x7fffffffffff | 1<<32 | 1), shared: opened,
-		marks: map[uint32][]int32{}, wakeAt: math.MaxInt64, looked: now}
+		marks: map[uint32][]int32{}, wakeAt: math.MaxInt64, looked: now, listTold: c.ListTold}
 	r.Apply(c)
 	r.listen(now)
 	r.ListMoved(now)
--- a/balance/state.go
+++ b/balance/state.go
@@ -20,6 +20,7 @@
 	sweep, refresh, useful, away, age     int64 // age: of reports, on average
 	looked, wakeAt                        int64 // when it last looked after what goes by time, and when its alarm rings
 	ejectFor, grace, coldFor, span        int64
+	listTold                              int64 // within which the list tells of a start; 0: not said
 	startShare, perSpan                   float64
 	peers, speaking, goneMayServe         bool
 	echoed                                bool // others heard what it said last
@@ -75,7 +76,8 @@
 	weight                       float64
 	listed                       bool  // as primary
 	word                         int   // of the list that last named it
-	told, started                int64 // when it was said to leave, and when it started (0: long ago)
+	told, started                int64 // when it was said to leave, and when it started by the list (0: long ago)
+	returned                     int64 // when it last answered after it had been out of reach; 0: never was
 	position, heardOf, lag       int64 // a lower bound, when it was last told, and how far behind then
 	roleAt, missed               int64 // when its role was true, and when it last turned a read away
 	heard                        int64 // when it last answered, or the oldest of its attempts left
@@ -306,10 +308,21 @@
 
 // warmth is the part of its strength that a node has by the time since its start.
 func (r *Router) warmth(m *node, now int64) float64 {
-	if m.started == 0 || now >= m.started+r.coldFor {
+	started := r.startOf(m, now)
+	if started == 0 || now >= started+r.coldFor {
 		return 1
 	}
-	return r.startShare + (1-r.startShare)*float64(max(now-m.started, 0))/float64(r.coldFor)
+	return r.startShare + (1-r.startShare)*float64(max(now-started, 0))/float64(r.coldFor)
+}
+
+// startOf is when a node started by the list, or its return from out of reach while the list may not have told of a
+// start yet. Guards against starts that the list tells late; where it says within which time it tells, a node that
+// was only cut off counts as warm after that. It harms if the list tells later still.
+func (r *Router) startOf(m *node, now int64) int64 {
+	if r.listTold > 0 && now >= m.returned+r.listTold {
+		return m.started
+	}
+	return max(m.started, m.returned)
 }
 
 // strength is the node's weight, and what it has proved to be beside that, which fades where nobody says so any more.
@@ -374,10 +387,12 @@
 	return now < m.ejectedUntil && m.failures >= distrust, m.served > 0 && now-m.served < span
 }
 
-// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold.
+// alive takes in a sign of life. A node that was out of reach may have started again, and so may be cold;
+// warmth holds it to be so until the list would have told.
 func (m *node) alive(now int64) {
-	if m.heard = now; m.unreached {
-		m.unreached, m.started = false, now
+	m.heard = now
+	if m.unreached {
+		m.unreached, m.returned = false, now
 	}
 }
 
