--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-.PHONY: build test race lint fuzz run measure-terms measure-members fleet even starts
+.PHONY: build test race lint fuzz run measure-terms measure-members fleet even starts scale capacity capacity-page
 
 build:
 	mkdir -p bin && CGO_ENABLED=1 go build -ldflags=-linkmode=external -o bin/ ./cmd/...
@@ -49,6 +49,18 @@
 starts:
 	go test -count=1 -v -timeout 1h -run StartTogether ./cmd/sedgestream -start.routers $${ROUTERS:-297}
 
+# Real routers and planners among hollow routers, at a part of the target's size: SIZE=1/2 make scale
+scale: build
+	bin/sedgestream lab scale --size $${SIZE:-1/8}
+
+# The figures of docs/CAPACITY.md, measured anew, and its tables: some ten minutes, with the machine to itself. PART=clients for one.
+capacity: build
+	go run ./internal/lab/capacitycost -only "$${PART:-}"
+
+# Its tables alone, from docs/measured/capacity.json.
+capacity-page:
+	go run ./internal/lab/capacitycost -only page
+
 # One router by the configuration that ROUTER_CONFIG names; see README.md.
 run: build
 	exec bin/sedgestream
--- a/cmd/sedgestream/lab.go
+++ b/cmd/sedgestream/lab.go
@@ -22,6 +22,7 @@
 	Demo   labDemo   `cmd:"" help:"Start a small fleet on this machine, break some of it, and show what happens; half a minute."`
 	Fleet  labFleet  `cmd:"" help:"Play a day of faults among processes of this program on this machine."`
 	Even   labEven   `cmd:"" help:"Tell how evenly load lies on nodes in a day, by this module and by other ways to choose."`
+	Scale  labScale  `cmd:"" help:"Measure control at a part of the target's size, among hollow routers."`
 	Schema labSchema `cmd:"" help:"Print the JSON schema of files of days."`
 }
 
--- /dev/null
+++ b/cmd/sedgestream/scale_test.go
@@ -0,0 +1,57 @@
+package main
+
+import (
+	"os"
+	"strings"
+	"testing"
+	"time"
+
+	"sedgestream/internal/lab/scale"
+)
+
+// smallScale is 60 hollow routers and 6 real ones, at short periods.
+func smallScale(t *testing.T) scale.Plan {
+	return scale.Plan{Program: os.Args[0], Env: []string{asRouter + "=1"}, Folder: t.TempDir(), Hollow: 60, Real: 6, Planners: 3, Databases: 40,
+		Period: 200 * time.Millisecond, Settle: 30 * time.Second, Calm: time.Second, Span: 2 * time.Second,
+		Limits: scale.Limits{Memory: 4000, Processes: 9}}
+}
+
+// All processes come to see every hollow router, a planner hears from each as much as from a real one, and nothing is left.
+func TestScale(t *testing.T) {
+	t.Parallel()
+	plan := smallScale(t)
+	result, err := scale.Run(t, plan)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(result.Routers) != plan.Real || len(result.Planners) != plan.Planners || result.Processes != plan.Real+plan.Planners || result.Memory == 0 {
+		t.Errorf("%+v", result)
+	}
+	said := 0.0 // bytes a second that a real router says to a planner
+	for _, s := range result.Routers {
+		if s.Out.Messages == 0 || s.In.Messages == 0 || s.MemberOut.Messages == 0 || s.Memory == 0 || s.Descriptors == 0 {
+			t.Errorf("a router was not measured: %+v", s)
+		}
+		said += s.Out.Bytes / float64(plan.Real*plan.Planners)
+	}
+	for _, s := range result.Planners {
+		all := said * float64(plan.Hollow+plan.Real)
+		if s.In.Bytes < 0.7*all || s.In.Bytes > 1.5*all {
+			t.Errorf("%s hears %.0f B/s of %d routers, and a real one says %.0f", s.Name, s.In.Bytes, plan.Hollow+plan.Real, said)
+		}
+	}
+}
+
+// A run that takes more than it may ends, and leaves nothing.
+func TestScaleKeepsToItsLimits(t *testing.T) {
+	t.Parallel()
+	plan := smallScale(t)
+	plan.Hollow, plan.Real, plan.Planners, plan.Limits.Memory = 1, 1, 1, 1
+	if _, err := scale.Run(t, plan); err == nil || !strings.Contains(err.Error(), "MB resident, more than 1") {
+		t.Errorf("more memory than allowed: %v", err)
+	}
+	plan.Limits.Processes = 1
+	if _, err := scale.Run(t, plan); err == nil || !strings.Contains(err.Error(), "2 processes, more than 1") {
+		t.Errorf("more processes than allowed: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/lab/capacity/compare.go
@@ -0,0 +1,31 @@
+package capacity
+
+// The series of one size with hollow routers and with real ones alone, which have to agree.
+const (
+	HollowRouters  = "router among hollow ones"
+	RealRouters    = "router among real ones"
+	HollowPlanners = "planner of hollow ones"
+	RealPlanners   = "planner of real ones"
+)
+
+// comparison is a table of both.
+func comparison(m *Measured) string {
+	text := head("who", "quantity", "all real", "most hollow", "hollow by real")
+	for _, pair := range [][2]string{{RealRouters, HollowRouters}, {RealPlanners, HollowPlanners}} {
+		real, hollow := m.Find(pair[0]), m.Find(pair[1])
+		if real == nil || hollow == nil {
+			text += line(pair[0], "all", "not measured", "not measured", "")
+			continue
+		}
+		for _, quantity := range []string{CPU, Memory, Descriptors, InBytes, OutBytes, InWords, OutWords, MemberBytes, MemberWords} {
+			a, _ := real.Fit(quantity)
+			b, _ := hollow.Fit(quantity)
+			ratio := ""
+			if a.Intercept != 0 {
+				ratio = number(b.Intercept / a.Intercept)
+			}
+			text += line(real.Role, quantity, number(a.Intercept)+" (spread "+number(a.Spread)+")", number(b.Intercept)+" (spread "+number(b.Spread)+")", ratio)
+		}
+	}
+	return text
+}
--- /dev/null
+++ b/internal/lab/capacity/rows.go
@@ -0,0 +1,145 @@
+package capacity
+
+import "fmt"
+
+// Row is a line of a role's table: a quantity at the target, as the sum of what series tell of it.
+type Row struct {
+	What     string
+	Unit     string
+	Quantity string   // in the series
+	Series   []string // the first one in full; of the others what they grow by beyond what the first one stood at
+	Limit    float64  // 0: none is set
+	Of       string   // whose limit it is
+}
+
+// Role is a table.
+type Role struct {
+	Name, State string
+	Rows        []Row
+}
+
+// The series that figures come from.
+const (
+	clientsSeries  = "router by idle clients"
+	listSeries     = "router by databases"
+	routersSeries  = "router by routers"
+	plannersSeries = "planner by routers"
+	trafficSeries  = "router with traffic"
+	plannerTraffic = "planner with traffic"
+)
+
+// The quantities of series.
+const (
+	CPU          = "cpu_ms"
+	Memory       = "memory_mb"
+	Descriptors  = "descriptors"
+	ListBytes    = "list_bytes"
+	ControlBytes = "control_bytes"
+	InBytes      = "in_bytes"
+	OutBytes     = "out_bytes"
+	InWords      = "in_messages"
+	OutWords     = "out_messages"
+	MemberBytes  = "member_bytes"
+	MemberWords  = "member_messages"
+)
+
+// Roles are the tables of the page.
+func (t *Target) Roles() []Role {
+	budget, usual, ours := "target", "router's usual limits", "one core"
+	return []Role{
+		{"Router", "List of databases with what is believed of each, client and database connections, requests in hand, leases of young nodes, views of loads.", []Row{
+			{"memory, idle clients and the whole list", "MB", Memory, []string{clientsSeries, listSeries}, t.RouterMemory, usual},
+			{"CPU, idle clients", "ms/s", CPU, []string{clientsSeries}, t.RouterCPU, usual},
+			{"descriptors, idle clients", "", Descriptors, []string{clientsSeries}, t.RouterSockets, usual},
+			{"memory by the list, no clients, no control", "MB", Memory, []string{listSeries}, t.RouterMemory, usual},
+			{"memory with control, no clients", "MB", Memory, []string{routersSeries}, t.ControlMemory, budget},
+			{"CPU of control, no clients", "ms/s", CPU, []string{routersSeries}, t.ControlCPU, budget},
+			{"control bytes, both ways, no traffic", "B/s", ControlBytes, []string{routersSeries}, t.ControlBytes, budget},
+			{"of these to planners", "B/s", OutBytes, []string{routersSeries}, 0, ""},
+			{"of these from planners", "B/s", InBytes, []string{routersSeries}, 0, ""},
+			{"messages to planners", "1/s", OutWords, []string{routersSeries}, 0, ""},
+			{"messages from planners", "1/s", InWords, []string{routersSeries}, 0, ""},
+			{"control bytes, both ways, with traffic and loads", "B/s", ControlBytes, []string{trafficSeries}, t.ControlBytes, budget},
+			{"CPU with 2,000 statements a second", "ms/s", "", nil, t.RouterCPU, usual},
+			{"memory with 2,000 statements a second", "MB", "", nil, t.RouterMemory, usual},
+		}},
+		{"Planner", "Board of nodes, the last report and beliefs of each router, pools of leases, the jury's voices, sums of loads; nothing of it outlives the process.", []Row{
+			{"CPU, no traffic", "ms/s", CPU, []string{plannersSeries}, t.RouterCPU, ours},
+			{"memory, no traffic", "MB", Memory, []string{plannersSeries}, 0, ""},
+			{"descriptors", "", Descriptors, []string{plannersSeries}, t.PlannerConn, "tier's usual connections"},
+			{"bytes in, no traffic", "B/s", InBytes, []string{plannersSeries}, 0, ""},
+			{"bytes out, no traffic", "B/s", OutBytes, []string{plannersSeries}, 0, ""},
+			{"messages in", "1/s", InWords, []string{plannersSeries}, 0, ""},
+			{"messages out", "1/s", OutWords, []string{plannersSeries}, 0, ""},
+			{"CPU, loads of the real routers", "ms/s", CPU, []string{plannerTraffic}, t.RouterCPU, ours},
+			{"CPU, loads of all routers", "ms/s", "", nil, t.RouterCPU, ours},
+		}},
+		{"Member", "A record of each instance (name, address, kind, zone, health) and the view. Every router and planner is one; CPU and memory are within theirs.", []Row{
+			{"bytes, both ways", "B/s", MemberBytes, []string{routersSeries}, t.ControlBytes, budget},
+			{"datagrams, both ways", "1/s", MemberWords, []string{routersSeries}, 0, ""},
+			{"bytes within 100 periods of a start", "B/s", "", nil, t.ControlBytes, budget},
+			{"CPU and memory by themselves", "", "", nil, 0, ""},
+		}},
+		{"Discovery, as seen from routers", "The list and its version, at the platform; one watch of each router.", []Row{
+			{"bytes of the whole list", "B", ListBytes, []string{listSeries}, 0, ""},
+			{"what a change costs a router", "", "", nil, 0, ""},
+			{"its own CPU and memory", "", "", nil, 0, ""},
+		}},
+		{"Keeper of configuration, and holder of fates of writes", "Planned; nobody holds either today. Configuration is a file beside each router, read again on SIGHUP; a write whose answer was lost is told to its client as unknown.", []Row{
+			{"state, bytes, CPU, memory, time till a change is in force", "", "", nil, 0, ""},
+		}},
+	}
+}
+
+// Figure is a row at the target.
+type Figure struct {
+	Row
+	Lines   []Line
+	Axes    []string
+	Value   float64
+	Stretch float64 // the furthest that a series is stretched beyond what it was measured at
+	Known   bool
+}
+
+// Ratio is the figure by its limit; 0 where there is none.
+func (f *Figure) Ratio() float64 {
+	if !f.Known || f.Limit == 0 {
+		return 0
+	}
+	return f.Value / f.Limit
+}
+
+// Figure works a row out. A row whose series are not measured yet is not known.
+func (t *Target) Figure(m *Measured, row Row) (f Figure, err error) {
+	f.Row, f.Known = row, len(row.Series) > 0
+	axes := t.Axes()
+	var first *Series
+	for _, name := range row.Series {
+		s := m.Find(name)
+		if s == nil {
+			f.Known = false
+			return f, nil
+		}
+		line, ok := s.Fit(row.Quantity)
+		if !ok {
+			return f, fmt.Errorf("%s: no figures of %s", name, row.Quantity)
+		}
+		x, ok := axes[s.Axis]
+		if !ok {
+			return f, fmt.Errorf("%s: the target has no %s", name, s.Axis)
+		}
+		if first == nil {
+			first = s
+			f.Value = line.Intercept + line.Slope*x
+		} else {
+			at, ok := first.At[s.Axis]
+			if !ok {
+				return f, fmt.Errorf("%s: nothing says at how many %s it was measured", first.Name, s.Axis)
+			}
+			f.Value += line.Slope * (x - at)
+		}
+		f.Lines, f.Axes = append(f.Lines, line), append(f.Axes, s.Axis)
+		f.Stretch = max(f.Stretch, x/line.Most)
+	}
+	return f, nil
+}
--- a/internal/lab/fleet/cost.go
+++ b/internal/lab/fleet/cost.go
@@ -3,6 +3,7 @@
 import (
 	"bytes"
 	"fmt"
+	"net"
 	"os"
 	"strconv"
 	"strings"
@@ -11,6 +12,7 @@
 
 	"sedgestream/internal/lab/day"
 	"sedgestream/internal/message"
+	"sedgestream/internal/standin/link"
 )
 
 // Cost is what the processes took for a while.
@@ -123,3 +125,101 @@
 	time.Sleep(span)
 	r.turn(-1, f, false)
 }
+
+// Usage is what one process holds, and has used since its start.
+type Usage struct {
+	CPU         float64 // ms
+	Memory      float64 // MB resident
+	Descriptors int
+}
+
+// UsageOf reads what a process uses from /proc.
+func UsageOf(pid int) Usage {
+	u := Usage{CPU: cpuOf(pid), Memory: residentOf(pid)}
+	if open, err := os.ReadDir(fmt.Sprintf("/proc/%d/fd", pid)); err == nil {
+		u.Descriptors = len(open)
+	}
+	return u
+}
+
+// Usage is what an instance uses.
+func (r *Rig) Usage(n int) Usage { return UsageOf(r.procs[n].cmd.Process.Pid) }
+
+// Flow is what went one way. Bytes are without the headers of IP, UDP and TCP.
+type Flow struct {
+	Messages float64 `json:"messages"`
+	Bytes    float64 `json:"bytes"`
+}
+
+func (f Flow) sub(before Flow) Flow {
+	return Flow{f.Messages - before.Messages, f.Bytes - before.Bytes}
+}
+
+func (f *Flow) add(count *link.FrameCount) {
+	f.Messages += float64(count.Frames.Load())
+	f.Bytes += float64(count.Bytes.Load())
+}
+
+// Traffic is what an instance has heard and said of control since it started.
+type Traffic struct {
+	In, Out             Flow    // over connections with planners, counted in the relays between
+	MemberIn, MemberOut Flow    // datagrams of the membership, by the instance's own counters
+	Exchanged           float64 // bytes of the membership's exchanges, both ways, by the same
+}
+
+// Sub is what was said since an earlier moment.
+func (t Traffic) Sub(before Traffic) Traffic {
+	return Traffic{t.In.sub(before.In), t.Out.sub(before.Out), t.MemberIn.sub(before.MemberIn), t.MemberOut.sub(before.MemberOut),
+		t.Exchanged - before.Exchanged}
+}
+
+// Traffic counts an instance's: what it says to planners, and what all others say to it if it is one.
+func (r *Rig) Traffic(n int) (t Traffic, err error) {
+	for from, relays := range r.between {
+		for _, relay := range relays {
+			if from == n {
+				t.Out.add(&relay.Toward)
+				t.In.add(&relay.Back)
+			}
+			if relay.To() == n {
+				t.In.add(&relay.Toward)
+				t.Out.add(&relay.Back)
+			}
+		}
+	}
+	f, err := r.Ask(n)
+	if err != nil {
+		return t, err
+	}
+	t.MemberIn = Flow{float64(f.Tally.WordsIn), float64(f.Tally.BytesIn)}
+	t.MemberOut = Flow{float64(f.Tally.WordsOut), float64(f.Tally.BytesOut)}
+	t.Exchanged = float64(f.Tally.PieceBytes)
+	return t, nil
+}
+
+// ToPlanner opens a relay to a planner for instances that others start beside the rig's; what passes it counts as the planner's.
+func (r *Rig) ToPlanner(n int) (string, error) {
+	relay, err := r.Net.Relay(anyone, n)
+	if err != nil {
+		return "", err
+	}
+	relay.Lead(r.planners[n])
+	r.between[anyone] = append(r.between[anyone], relay)
+	return relay.Address, nil
+}
+
+// anyone is who uses a relay that is nobody's alone.
+const anyone = -1
+
+// Processes are the ids of those that run.
+func (r *Rig) Processes() (pids []int) {
+	for _, p := range r.all() {
+		if r.running(p) {
+			pids = append(pids, p.cmd.Process.Pid)
+		}
+	}
+	return pids
+}
+
+// AddressOf is the loopback address of an instance; numbers behind the rig's own are free for instances that others start.
+func AddressOf(n int) net.IP { return ip(n) }
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -58,8 +58,9 @@
 	serial   int64
 	begun    time.Time
 	mu       sync.Mutex
-	procs    []*proc  // by number; then twins
-	planners []string // where they listen
+	procs    []*proc               // by number; then twins
+	planners []string              // where they listen
+	between  map[int][]*link.Relay // to planners, by who uses them
 	jobs     ledger
 	stop     chan struct{}
 	tasks    sync.WaitGroup
@@ -137,8 +138,8 @@
 
 // New starts all processes and the load.
 func New(t standin.Test, p Plan) *Rig {
-	r := &Rig{Plan: p, serial: rigs.Add(1), Net: link.New(p.Seed, who), t: t, stop: make(chan struct{}), on: map[int]*day.Fault{}, drained: map[int]map[string]time.Time{}, version: 7}
-	t.Cleanup(r.close)
+	r := &Rig{Plan: p, serial: rigs.Add(1), Net: link.New(p.Seed, who), t: t, stop: make(chan struct{}), on: map[int]*day.Fault{}, between: map[int][]*link.Relay{}, drained: map[int]map[string]time.Time{}, version: 7}
+	t.Cleanup(r.Close)
 	for n := range p.Planners {
 		l, err := net.Listen("tcp", ip(n).String()+":0")
 		r.must(err)
@@ -202,13 +203,13 @@
 			between, err := r.Net.Relay(n, p)
 			r.must(err)
 			between.Lead(address)
+			r.between[n] = append(r.between[n], between)
 			address = between.Address
 		}
 		list = append(list, fmt.Sprintf(`{"name": "p%d", "address": %q}`, p, address))
 	}
 	path := filepath.Join(r.Folder, fmt.Sprintf("tier-%d.json", n))
-	r.must(os.WriteFile(path, fmt.Appendf(nil, `{"version": 1, "fleet": %q, "term": %q, "period": %q, "planners": [%s], "members": {"period": %q, "forget": "1h"}%s}`,
-		r.fleetName(), r.Term, r.Term/8, strings.Join(list, ", "), r.Period, map[bool]string{true: `, "loads": {}`}[r.Loads]), 0o600))
+	r.must(os.WriteFile(path, []byte(r.TierText(strings.Join(list, ", "))), 0o600))
 	if planner {
 		c.args = []string{"plan", "--tier", path, "--name", c.name, "--member-advertise", c.relay.Address}
 		c.env = os.Environ()
@@ -236,6 +237,16 @@
 	return c
 }
 
+// TierText is the file of the tier with this list of planners.
+func (r *Rig) TierText(planners string) string {
+	loads := ""
+	if r.Loads {
+		loads = `, "loads": {}`
+	}
+	return fmt.Sprintf(`{"version": 1, "fleet": %q, "term": %q, "period": %q, "planners": [%s], "members": {"period": %q, "forget": "1h"}%s}`,
+		r.fleetName(), r.Term, r.Term/8, planners, r.Period, loads)
+}
+
 // start starts a life of an instance and waits until it serves.
 func (r *Rig) start(c *proc) {
 	if c.fleet != nil {
@@ -357,8 +368,8 @@
 	}
 }
 
-// close ends what still runs.
-func (r *Rig) close() {
+// Close ends what still runs; a test's end does so, too.
+func (r *Rig) Close() {
 	select {
 	case <-r.stop:
 	default:
--- /dev/null
+++ b/internal/lab/scale/databases.go
@@ -0,0 +1,39 @@
+package scale
+
+import (
+	"fmt"
+
+	"sedgestream/internal/standin"
+)
+
+// Where hollow databases stand: the zones of the target, and groups of a primary and replicas.
+const (
+	regions        = 2
+	zonesOfRegion  = 4
+	nodesOfGroup   = 5
+	firstGroupName = 2
+)
+
+// Databases are stand-in nodes that listen in this process, in groups that are spread over all zones.
+func Databases(t standin.Test, count int) []*standin.Node {
+	var nodes []*standin.Node
+	for n := range count {
+		group, place := n/nodesOfGroup, n%nodesOfGroup
+		role := "copy"
+		if place == 0 {
+			role = "source"
+		}
+		node := standin.NewNode(t, role)
+		node.Group = firstGroupName + group
+		node.Zone = zoneName(group + place)
+		node.Strict, node.Quiet = true, true
+		nodes = append(nodes, node)
+	}
+	return nodes
+}
+
+// zoneName is that of the n-th zone, all regions in turn.
+func zoneName(n int) string {
+	zone := n % (regions * zonesOfRegion)
+	return fmt.Sprintf("region%d-zone%d", zone%regions, zone/regions)
+}
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -128,6 +128,43 @@
 	listener net.Listener
 	mu       sync.Mutex
 	conns    map[*passage]struct{}
+
+	// Toward and Back count what passes over connections to the instance, and from it.
+	Toward, Back FrameCount
+}
+
+// FrameCount counts bytes of connections, and the frames of package message among them.
+type FrameCount struct{ Bytes, Frames atomic.Int64 }
+
+// frameReader finds where frames begin in one way of a connection: each is a length in four bytes and as many bytes behind it.
+type frameReader struct {
+	count  *FrameCount
+	length uint32 // as far as its bytes have come
+	have   int    // bytes of the length that have come
+	left   int64  // bytes of the frame that are to come
+}
+
+// lengthBytes is the size of a frame's length.
+const lengthBytes = 4
+
+func (f *frameReader) passed(text []byte) {
+	f.count.Bytes.Add(int64(len(text)))
+	for len(text) > 0 {
+		if f.left > 0 {
+			skip := min(f.left, int64(len(text)))
+			f.left -= skip
+			text = text[skip:]
+			continue
+		}
+		f.length = f.length<<8 | uint32(text[0])
+		f.have++
+		text = text[1:]
+		if f.have == lengthBytes {
+			f.count.Frames.Add(1)
+			f.left = int64(f.length)
+			f.length, f.have = 0, 0
+		}
+	}
 }
 
 // passage is a connection that passes.
@@ -160,6 +197,9 @@
 	return nil, errors.New("link: no port is free for datagrams and connections")
 }
 
+// To is the instance that the relay stands for.
+func (r *Relay) To() int { return r.to }
+
 // Lead says where the instance is now.
 func (r *Relay) Lead(address string) { r.real.Store(&address) }
 
@@ -241,8 +281,8 @@
 	r.conns[p] = struct{}{}
 	r.mu.Unlock()
 	done, over := make(chan struct{}, 2), make(chan struct{})
-	go func() { r.net.carry(out, in, from, r.to, over); done <- struct{}{} }()
-	go func() { r.net.carry(in, out, r.to, from, over); done <- struct{}{} }()
+	go func() { r.net.carry(out, in, from, r.to, over, &r.Toward); done <- struct{}{} }()
+	go func() { r.net.carry(in, out, r.to, from, over, &r.Back); done <- struct{}{} }()
 	<-done
 	close(over)
 	r.mu.Lock()
@@ -252,8 +292,9 @@
 
 // carry carries one way of a connection until it ends. What comes while that way is mute waits, as what a peer does not
 // acknowledge does, and the sender is stopped by its window in the end.
-func (n *Network) carry(dst io.Writer, src io.Reader, from, to int, over chan struct{}) {
+func (n *Network) carry(dst io.Writer, src io.Reader, from, to int, over chan struct{}, count *FrameCount) {
 	buf := make([]byte, 16<<10)
+	frames := frameReader{count: count}
 	for {
 		k, err := src.Read(buf)
 		for {
@@ -274,6 +315,7 @@
 			if _, werr := dst.Write(buf[:k]); werr != nil {
 				return
 			}
+			frames.passed(buf[:k])
 		}
 		if err != nil {
 			return
