--- a/internal/lab/capacity/capacity_test.go
+++ b/internal/lab/capacity/capacity_test.go
@@ -103,6 +103,31 @@
 	}
 }
 
+func TestSlopesBelowNought(t *testing.T) {
+	m := &Measured{}
+	m.Put(series("a", "routers", nil, map[float64][]float64{0: {20}, 10: {15}}))
+	target := Target{Routers: 20}
+	f, err := target.Figure(m, Row{What: "memory", Quantity: Memory, Series: []string{"a"}})
+	if err != nil || !strings.Contains(f.line(), "| 20 - 0.5 x routers |") {
+		t.Error(f.line(), err)
+	}
+}
+
+// Of a figure that is lost in its spread no more is said than that it lies under that.
+func TestFigureWithinItsSpread(t *testing.T) {
+	m := &Measured{}
+	m.Put(series("a", "routers", nil, map[float64][]float64{0: {0, 2}, 10: {0, 2}}))
+	target := Target{Routers: 20}
+	f, err := target.Figure(m, Row{What: "CPU", Quantity: Memory, Series: []string{"a"}, Limit: 10, Of: "a test"})
+	if err != nil || f.Most() != 1 || f.Ratio() != 0.1 {
+		t.Errorf("%+v %v", f, err)
+	}
+	m.Put(series("a", "routers", nil, map[float64][]float64{0: {0, 2}, 10: {0, 1}}))
+	if f, _ = target.Figure(m, f.Row); !strings.Contains(f.line(), "| under 1 | 10 (a test) | 0.1 |") {
+		t.Error(f.line())
+	}
+}
+
 func TestFill(t *testing.T) {
 	page := "a\n<!-- tables: x, by make capacity -->\nold\n<!-- end of tables -->\nb\n"
 	text, err := Fill(page, map[string]string{"x": "new\n"})
--- a/internal/lab/capacity/page.go
+++ b/internal/lab/capacity/page.go
@@ -109,9 +109,13 @@
 	if f.Ratio() > 1 {
 		over = "**OVER**"
 	}
+	figure := number(f.Value)
+	if f.Value < f.Spread {
+		figure = "under " + number(f.Spread)
+	}
 	var sums, spreads, mosts []string
 	for i, l := range f.Lines {
-		sum := number(l.Intercept) + " + " + number(l.Slope) + " x " + f.Axes[i]
+		sum := number(l.Intercept) + grows(l.Slope) + " x " + f.Axes[i]
 		if l.Sizes == 1 {
 			sum = number(l.Intercept) + ", at one size"
 		}
@@ -121,7 +125,15 @@
 		sums, spreads, mosts = append(sums, sum), append(spreads, number(l.Spread)), append(mosts, number(l.Most)+" "+f.Axes[i])
 	}
 	return line(what, strings.Join(sums, "; "), strings.Join(spreads, "; "), strings.Join(mosts, "; "), number(f.Stretch)+" times",
-		strings.Join(f.Series, "; "), number(f.Value), limit, ratio, over)
+		strings.Join(f.Series, "; "), figure, limit, ratio, over)
+}
+
+// grows is a slope behind its intercept.
+func grows(slope float64) string {
+	if slope < 0 {
+		return " - " + number(-slope)
+	}
+	return " + " + number(slope)
 }
 
 // runs tells which command and file gave each series.
--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -97,16 +97,20 @@
 	Lines   []Line
 	Axes    []string
 	Value   float64
+	Spread  float64 // of all its series together
 	Stretch float64 // the furthest that a series is stretched beyond what it was measured at
 	Known   bool
 }
 
+// Most is the figure, or its spread where that is more: then no more is known than that it lies under it.
+func (f *Figure) Most() float64 { return max(f.Value, f.Spread) }
+
 // Ratio is the figure by its limit; 0 where there is none.
 func (f *Figure) Ratio() float64 {
 	if !f.Known || f.Limit == 0 {
 		return 0
 	}
-	return f.Value / f.Limit
+	return f.Most() / f.Limit
 }
 
 // Figure works a row out. A row whose series are not measured yet is not known.
@@ -139,6 +143,7 @@
 			f.Value += line.Slope * (x - at)
 		}
 		f.Lines, f.Axes = append(f.Lines, line), append(f.Axes, s.Axis)
+		f.Spread += line.Spread
 		f.Stretch = max(f.Stretch, x/line.Most)
 	}
 	return f, nil
