--- a/internal/dispatch/dispatch.go
+++ b/internal/dispatch/dispatch.go
@@ -275,17 +275,23 @@
 	return serve
 }
 
-// Left tells that the request's client has gone.
-func (t *Ticket) Left() {
+// Left tells that nobody waits for the request any more: its client has gone, or has canceled it. It tells whether that ended
+// the request; if not, the final answer had been given or was on its way. Otherwise none comes from here, and whoever canceled
+// owes it.
+func (t *Ticket) Left() (ended bool) {
 	d := t.desk
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	if s := &d.slots[t.place]; s.serial == t.serial && !s.over {
-		if s.over = true; s.legs > 0 && s.task.Withdraw != nil {
-			d.put(t.place, s.task.Withdraw) // before the place is vacated
-		}
-		d.router.Left(t.place)
+	s := &d.slots[t.place]
+	if s.serial != t.serial || s.over {
+		return false
+	}
+	s.over = true
+	if s.legs > 0 && s.task.Withdraw != nil {
+		d.put(t.place, s.task.Withdraw) // before the place is vacated
 	}
+	d.router.Left(t.place)
+	return true
 }
 
 // Over tells whether the request has its final answer, or nobody waits for it.
--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -16,7 +16,7 @@
 type pendingAnswer struct {
 	client *client
 	id     string
-	ticket *dispatch.Ticket // of its request, if any
+	ticket *dispatch.Ticket // of its request, if any; doesn't change once this is pending
 	parts  [][]byte         // the answer, once there is one
 	kept   int              // bytes of it that count while it waits for those before it
 }
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -21,8 +21,9 @@
 	server  *Server
 	sock    net.Conn
 	in, out *ring.Ring
-	need    int // bytes that the message at the front takes, as far as known
-	held    int // bytes of a long query, kept so that they count as long as its request does
+	key     pg.BackendKey // which cancels its requests; of no process before its startup
+	need    int           // bytes that the message at the front takes, as far as known
+	held    int           // bytes of a long query, kept so that they count as long as its request does
 
 	mu      sync.Mutex
 	pending []*pendingAnswer // whose answers are not out yet
@@ -63,6 +64,7 @@
 		if p := recover(); p != nil {
 			c.server.log.Error("a connection's task failed", zap.Any("panic", p), zap.Stack("stack"))
 		}
+		c.server.keys.remove(c)
 		c.leave()
 		c.sock.Close()
 		c.in.Free()
@@ -155,12 +157,19 @@
 		c.need = size
 		return false, false, nil
 	}
+	if what == pg.Cancel {
+		key, ok := pg.CancelKey(c.in, size)
+		if ok {
+			c.server.serveCancel(key)
+		}
+		return false, false, errEnd
+	}
 	c.in.Discard(size)
 	switch what {
 	case pg.Version3:
-		return true, true, c.reply(pg.AppendWelcome(nil))
+		return true, true, c.reply(pg.AppendWelcome(nil, c.server.keys.register(c)))
 	case pg.Version3Later:
-		return true, true, c.reply(pg.AppendNegotiate(nil), pg.AppendWelcome(nil))
+		return true, true, c.reply(pg.AppendNegotiate(nil), pg.AppendWelcome(nil, c.server.keys.register(c)))
 	case pg.Encryption:
 		return false, true, c.reply([]byte{'N'})
 	case pg.Strange:
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -25,6 +25,7 @@
 	log        *zap.Logger
 	listener   net.Listener
 	budget     *ring.Budget
+	keys       cancelKeys
 
 	wanting   atomic.Bool // a new connection waits for one to end
 	finishing atomic.Bool // no request is begun any more
--- a/internal/frontend/query.go
+++ b/internal/frontend/query.go
@@ -85,11 +85,12 @@
 func (c *client) begin(s *pg.Statement, ask dispatch.Arrival) {
 	ask.Wait = c.timeLeft(s, ask)
 	turn := &pendingAnswer{client: c, id: s.ID}
-	if ending := c.take(turn); ending {
+	turn.ticket = request.Begin(c.server.dispatcher, ask, turn, upstream.Sender{Nodes: c.server.nodes, Statement: s})
+	ending := c.take(turn)
+	if ending {
 		c.server.changed()
 	}
-	turn.ticket = request.Begin(c.server.dispatcher, ask, turn, upstream.Sender{Nodes: c.server.nodes, Statement: s})
-	go turn.ticket.Work()
+	go turn.ticket.Work() // no answer comes before this, and a cancel finds the ticket
 }
 
 // timeLeft is how long a query's client waits yet. None waits for longer than the settings say: guards against times that
--- a/internal/pg/message.go
+++ b/internal/pg/message.go
@@ -57,7 +57,7 @@
 	Version3
 	Version3Later // a minor version that is not spoken here
 	Encryption    // to be answered with N
-	Cancel        // to be closed
+	Cancel        // CancelKey has what it names; to be closed
 	Strange       // another version
 )
 
@@ -103,8 +103,8 @@
 	return end(b, at)
 }
 
-// AppendWelcome answers a startup.
-func AppendWelcome(b []byte) []byte {
+// AppendWelcome answers a startup, and tells the key that cancels requests of the connection.
+func AppendWelcome(b []byte, key BackendKey) []byte {
 	b, at := begin(b, 'R')
 	b = end(append(b, 0, 0, 0, 0), at)
 	b = appendStatus(b, "server_version", "15.0")
@@ -113,8 +113,7 @@
 	b = appendStatus(b, "DateStyle", "ISO, MDY")
 	b = appendStatus(b, "integer_datetimes", "on")
 	b = appendStatus(b, "standard_conforming_strings", "on")
-	b, at = begin(b, 'K') // cancel requests are not served, so the key tells nothing
-	b = end(append(b, 0, 0, 0, 0, 0, 0, 0, 0), at)
+	b = appendBackendKey(b, key)
 	return AppendReady(b)
 }
 
--- a/internal/pg/pg_test.go
+++ b/internal/pg/pg_test.go
@@ -240,6 +240,31 @@
 	}
 }
 
+// A cancel request names the key that its connection was told; one of another size names none.
+func TestCancelKey(t *testing.T) {
+	want := BackendKey{Process: 1<<31 - 1, Secret: 0xfedcba98}
+	welcome := AppendWelcome(nil, want)
+	at := bytes.Index(welcome, []byte{'K', 0, 0, 0, 12})
+	if at < 0 {
+		t.Fatal("no key in the welcome")
+	}
+	told := welcome[at+headSize : at+headSize+8]
+	for _, more := range []int{0, -1, 1} {
+		packet := binary.BigEndian.AppendUint32(make([]byte, 4), cancelRequest)
+		packet = end(append(packet, append(bytes.Clone(told), 0)[:8+more]...), 0)
+		r := ring.New(64, 64, nil)
+		r.Write(packet)
+		what, size, err := Startup(r)
+		if what != Cancel || err != nil {
+			t.Fatal(what, err)
+		}
+		key, ok := CancelKey(r, size)
+		if ok != (more == 0) || ok && key != want {
+			t.Errorf("of %d bytes: %v, %v", size, key, ok)
+		}
+	}
+}
+
 // Nothing that comes over a wire makes a parser panic.
 func FuzzParsers(f *testing.F) {
 	f.Add(append(append([]byte(nil), row("x0=1,x1=1")...), 'Z', 0, 0, 0, 5, 'I'))
@@ -252,7 +277,9 @@
 		}
 		r := ring.New(len(b)+1, len(b)+1, nil)
 		r.Write(b)
-		Startup(r)
+		if what, size, err := Startup(r); what == Cancel && err == nil {
+			CancelKey(r, size)
+		}
 		Harmless(b)
 		if s, err := ReadStatement(b); err == nil {
 			var sent bytes.Buffer
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"io"
 	"net"
 	"strings"
 	"sync/atomic"
@@ -14,7 +15,8 @@
 type Client struct {
 	Sock net.Conn
 	*pgproto3.Frontend
-	Detail string // of the last error
+	Detail string                  // of the last error
+	Key    pgproto3.BackendKeyData // that cancels its requests, once it has been told
 
 	t Test
 }
@@ -91,6 +93,8 @@
 		case *pgproto3.ErrorResponse:
 			said += m.Code
 			c.Detail = m.Detail
+		case *pgproto3.BackendKeyData:
+			c.Key = *m
 		case *pgproto3.EmptyQueryResponse:
 			said += "empty"
 		case *pgproto3.ReadyForQuery:
@@ -102,6 +106,22 @@
 // Next is the next answer; an error is that of the connection, with what came of the answer before it.
 func (c *Client) Next() (said string, err error) { return c.answer() }
 
+// Cancel sends a cancel request over a new connection, and is all that comes back up to its end.
+func (c *Client) Cancel(key pgproto3.BackendKeyData) (said []byte, err error) {
+	sock, err := net.Dial("tcp", c.Sock.RemoteAddr().String())
+	if err != nil {
+		return nil, err
+	}
+	defer sock.Close()
+	sock.SetDeadline(time.Now().Add(Patience))
+	front := pgproto3.NewFrontend(sock, sock)
+	front.Send(&pgproto3.CancelRequest{ProcessID: key.ProcessID, SecretKey: key.SecretKey})
+	if err := front.Flush(); err != nil {
+		return nil, err
+	}
+	return io.ReadAll(sock)
+}
+
 // Expect fails the test unless the answer is this.
 func (c *Client) Expect(answer string) {
 	c.t.Helper()
