--- a/internal/frontend/answers.go
+++ b/internal/frontend/answers.go
@@ -46,12 +46,24 @@
 	return c.write(parts...)
 }
 
+// writeAlone writes while nothing is in hand, by the connection's own task, which reads nothing meanwhile. If that takes long
+// the next query may have stood in the socket, and the client's end behind it.
+func (c *client) writeAlone(parts [][]byte) error {
+	begun := time.Now()
+	err := c.write(parts...)
+	tick := c.server.dispatcher.Policy().Settings.Tick
+	if time.Since(begun) > time.Duration(tick) {
+		c.watched = false
+	}
+	return err
+}
+
 // reply answers what no request was made of, in its turn.
 func (c *client) reply(parts ...[]byte) error {
 	c.mu.Lock()
 	if len(c.pending) == 0 { // then no request's task writes, nor will one before the next query is read
 		c.mu.Unlock()
-		return c.write(parts...)
+		return c.writeAlone(parts)
 	}
 	defer c.mu.Unlock()
 	c.pending = append(c.pending, &pendingAnswer{client: c, parts: parts})
--- a/internal/frontend/client.go
+++ b/internal/frontend/client.go
@@ -41,6 +41,7 @@
 	late         bool      // that message has had its time, and what had come by then has been read
 	alone        bool      // a long query is in hand, or waits for those before it: nothing goes beside it
 	spare        bool      // there was no room for it when it came
+	watched      bool      // whether it has gone has been looked for since its coming, and since its task was last held up
 	skip         bool      // until Sync, after an error in the extended protocol
 }
 
@@ -94,6 +95,9 @@
 				}
 			}
 		}
+		if err == errEnd { // it waits for nothing any more, and its connection may end later only
+			c.leave()
+		}
 		if err == errLast || err == errEnd {
 			c.lingerClose(err == errLast)
 		}
@@ -137,6 +141,9 @@
 func (c *client) leave() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
+	if c.left {
+		return
+	}
 	c.left = true
 	for _, t := range c.pending {
 		c.server.budget.Give(t.kept)
--- a/internal/frontend/query.go
+++ b/internal/frontend/query.go
@@ -49,8 +49,7 @@
 		return errLast
 	}
 	c.spare = false
-	// Of a query that has waited here the client may have gone, its end unread behind what it wrote. Nothing is sent for it.
-	if c.hasWaited(begun) && ring.Ended(c.sock) {
+	if c.hasGone(begun) { // nothing is sent for it
 		return io.EOF
 	}
 	if !c.server.claim(s.ID) {
@@ -105,6 +104,14 @@
 	return wait - min(transitAllowance, wait/16)
 }
 
+// hasGone tells whether the client of the query looked at now, which began to come then, has gone, its end unread behind what it
+// wrote. It looks where the query may have waited, here or in the socket.
+func (c *client) hasGone(begun time.Time) bool {
+	looks := !c.watched || c.hasWaited(begun)
+	c.watched = true
+	return looks && ring.Ended(c.sock)
+}
+
 // hasWaited tells whether the query looked at now, which began to come then, has been here for longer than a tick.
 func (c *client) hasWaited(begun time.Time) bool {
 	tick := c.server.dispatcher.Policy().Settings.Tick
