--- a/cmd/sedgestream/standing_test.go
+++ b/cmd/sedgestream/standing_test.go
@@ -316,21 +316,27 @@
 	}
 }
 
-// A third of the connections to a node come up after 1.5 s: they are not waited for beyond the connect time, nothing is sent
+// A third of the connections to a node come up after 0.8 s: they are not waited for beyond the connect time, nothing is sent
 // over them late, and at-most-once requests go over others.
 func TestConnectionsThatComeUpLate(t *testing.T) {
 	t.Parallel()
-	const late, wait = 1500 * time.Millisecond, 1200
+	const late, wait = 800 * time.Millisecond, 1200
 	nodes := []*standin.Node{standin.NewNode(t, "source"), standin.NewNode(t, "copy")}
+	var slowSocks sync.Map
+	var overSlow atomic.Int32 // statements over those that came up late
 	for _, n := range nodes {
 		var sessions atomic.Int32
-		n.Greet = func(net.Conn) bool {
+		n.Greet = func(c net.Conn) bool {
 			if sessions.Add(1)%3 == 0 {
+				slowSocks.Store(c, true)
 				time.Sleep(late)
 			}
 			return true
 		}
 		n.Job = func(b *pgproto3.Backend, c net.Conn, q string) { // few connections last
+			if _, slow := slowSocks.Load(c); slow {
+				overSlow.Add(1)
+			}
 			if n.Row(b, "v"); standin.Lot(q) < 0.3 {
 				c.Close()
 			}
@@ -369,6 +375,9 @@
 	if answers["v"] < 4*40*3/4 || answers["v"]+answers["53300"] < 4*40 || slow > 0 {
 		t.Errorf("answered %v, %d of them too late", answers, slow)
 	}
+	if n := overSlow.Load(); n > 0 {
+		t.Errorf("%d requests waited for connections that came up late", n)
+	}
 	seen := map[string]bool{}
 	for _, n := range nodes {
 		for _, r := range n.Ledger() {
