--- a/cmd/sedgestream/standing_test.go
+++ b/cmd/sedgestream/standing_test.go
@@ -40,8 +40,8 @@
 	}
 }
 
-// What an attempt tells its node is at most what is left to the client as it is sent: for a second one beside the first,
-// and for one whose connection takes long to come up.
+// What an attempt tells its node is at most what is left to the client as it is sent: for a further attempt, for a second one
+// beside the first, and for one whose connection takes long to come up.
 func TestTimeToldToNodes(t *testing.T) {
 	t.Parallel()
 	const wait, delay, requests = 3 * time.Second, 600 * time.Millisecond, 4
@@ -51,6 +51,17 @@
 		greet              time.Duration
 		attempts           int // that each request takes
 	}{
+		{name: "further attempt", class: "order", attempts: 2, job: func(n *standin.Node) func(*pgproto3.Backend, net.Conn, string) {
+			answer := func(b *pgproto3.Backend, _ net.Conn, _ string) { n.Row(b, "v") }
+			return later(func(b *pgproto3.Backend, c net.Conn, q string) {
+				if strings.Contains(q, "c=once") { // by which the primary becomes known
+					answer(b, c, q)
+					return
+				}
+				time.Sleep(delay)
+				c.Close()
+			}, answer)
+		}},
 		{name: "second attempt", class: "view", attempts: 2,
 			terms: `{"version": 1, "routes": [{"name": "all", "match": {"tariff": "view"}, "terms": {"copies": {"after": "600ms", "part": 1}}}]}`},
 		{name: "connection that comes up late", class: "once", attempts: 1, greet: delay, job: func(n *standin.Node) func(*pgproto3.Backend, net.Conn, string) {
@@ -85,7 +96,7 @@
 				f.Args = []string{"run", "--terms", path}
 			}
 			f.Start(os.Args[0])
-			f.Open(standin.Change("order", 20000)).Answer() // so that the primary is known
+			f.Open(standin.Change("once", 20000)).Answer() // so that the primary is known
 			sent := map[string]time.Time{}
 			for range requests {
 				text := standin.Change(c.class, int(wait.Milliseconds()))
