--- /dev/null
+++ b/balance/cold_test.go
@@ -0,0 +1,72 @@
+package balance
+
+import (
+	"flag"
+	"fmt"
+	"slices"
+	"testing"
+)
+
+var coldSeeds = flag.Int("cold.seeds", 4, "seeds of each day of cold nodes")
+
+// coldShape is what distinguishes one kind of such a day from another.
+type coldShape struct {
+	name string
+	with func(p *coldPlan)
+}
+
+var coldShapes = []coldShape{
+	{"one replica", func(p *coldPlan) {}},
+	{"a primary", func(p *coldPlan) { p.Cold = []int{0} }},
+	{"all replicas of a group", func(p *coldPlan) { p.Cold = []int{1, 2} }},
+	{"a whole group", func(p *coldPlan) { p.Cold = []int{0, 1, 2} }},
+	{"the only replica that answers", func(p *coldPlan) { p.Gone = []int{2} }},
+	{"a replica, routers start anew", func(p *coldPlan) { p.Restarts = 50 * ms }},
+	{"a primary, routers start anew", func(p *coldPlan) { p.Cold, p.Restarts = []int{0}, 50*ms }},
+}
+
+var heavyColdShapes = []coldShape{
+	{"a primary, heavy reads", func(p *coldPlan) { p.Cold, p.Heavy = []int{0}, 0.05 }},
+	{"all replicas of a group, heavy reads", func(p *coldPlan) { p.Cold, p.Heavy = []int{1, 2}, 0.05 }},
+}
+
+// What all routers together send a cold node stays within what it can take, by its own ledger.
+func TestColdBudgetOfAllRouters(t *testing.T) { playColdShapes(t, coldShapes) }
+
+// The same where one request in twenty takes ten times the work of the others.
+func TestColdBudgetWithHeavyReads(t *testing.T) { playColdShapes(t, heavyColdShapes) }
+
+// playColdShapes plays days of twenty and thirty routers, from nodes that may be sent two requests to such that may be sent forty.
+func playColdShapes(t *testing.T, shapes []coldShape) {
+	t.Parallel()
+	for _, shape := range shapes {
+		for _, routers := range []int{20, 30} {
+			for _, allowed := range []float64{2, 5, 10, 40} {
+				t.Run(fmt.Sprintf("%s/%d routers/%v allowed", shape.name, routers, allowed), func(t *testing.T) {
+					t.Parallel()
+					checkColdBudget(t, shape, coldPlan{Routers: routers, Allowed: allowed, Load: 0.7, Burst: 1.5, Words: true,
+						Cold: []int{1}})
+				})
+			}
+		}
+	}
+}
+
+func checkColdBudget(t *testing.T, shape coldShape, p coldPlan) {
+	var worst []float64
+	served := 0.0
+	shape.with(&p)
+	for seed := range *coldSeeds {
+		p.Seed = uint64(seed + 1)
+		most, part := newColdFleet(p).play()
+		worst = append(worst, most)
+		served += part / float64(*coldSeeds)
+	}
+	slices.Sort(worst)
+	last := len(worst) - 1
+	t.Logf("%s, %d routers, %v allowed: median %.2f, most %.2f of what the node takes; served %.3f", shape.name, p.Routers,
+		p.Allowed, worst[last/2], worst[last], served)
+	if worst[last] > 1 {
+		t.Errorf("the cold node was sent %.2f times what it takes", worst[last])
+	}
+}
--- /dev/null
+++ b/balance/coldfleet_test.go
@@ -0,0 +1,415 @@
+package balance
+
+import (
+	"container/heap"
+	"math"
+	"math/rand/v2"
+)
+
+// coldPlan is a day of many routers in simulated time, on which nodes start cold.
+type coldPlan struct {
+	Routers  int
+	Allowed  float64 // requests of mean work that the settings allow a node over the span at its start
+	Load     float64 // of all nodes' capacity
+	Burst    float64 // factor of the traffic while the nodes are cold
+	Heavy    float64 // part of the requests that take ten times the work
+	Words    bool    // routers tell one another
+	Restarts int64   // a router starts anew so often, from the cold start on; 0: none does
+	Cold     []int   // nodes that start at coldAt
+	Gone     []int   // nodes that answer nothing from coldAt on, though they are listed
+	Seed     uint64
+}
+
+// The fleet of such a day: each group has a primary, its first member, and replicas.
+const (
+	coldGroups   = 4
+	coldMembers  = 3
+	coldCores    = 2
+	coldQueue    = 16
+	coldSpan     = 1000 * ms
+	coldFor      = 4000 * ms
+	coldAt       = 4000 * ms
+	coldEnd      = 9000 * ms
+	coldStart    = 0.15
+	coldMultiple = 2.0
+	heavyFactor  = 10.0
+	writePart    = 1.0 / 3
+	trafficSigma = 1.0 // of the logarithm of routers' traffic: some have several times the mean, some nearly none
+	askAgainPart = 0.5 // of the refused requests that clients send again
+	oneWay       = ms / 2
+)
+
+// What a probe and a new connection count as, in requests of mean work: above what the operators' sites draw.
+const (
+	probeCost      = 0.02
+	connectionCost = 0.2
+)
+
+// coldFleet is what runs.
+type coldFleet struct {
+	coldPlan
+	mean    float64 // work of a request
+	light   float64 // of one that is not heavy
+	now     int64
+	chance  *rand.Rand
+	events  coldEvents
+	serial  uint64
+	nodes   []coldNode
+	routers []*coldRouter
+	asked   int
+	served  int
+}
+
+type coldNode struct {
+	number  int
+	started int64 // 0: long ago
+	gone    bool
+	busy    int
+	queue   []func()
+	arrived []coldArrival
+}
+
+// coldArrival is what came to a node, in requests of mean work.
+type coldArrival struct {
+	at   int64
+	cost float64
+}
+
+type coldRouter struct {
+	Actions
+	fleet       *coldFleet
+	number      int
+	rate        float64 // requests a second
+	router      *Router
+	life        int // how often it has started anew
+	alarm       uint64
+	jobs        map[Place]*coldJob
+	connections []int // by node, each for one request at a time
+	out         []int
+}
+
+type coldJob struct {
+	class, group, attempts, tries int
+	work                          float64
+	began                         int64
+	over                          bool
+}
+
+type coldEvent struct {
+	at     int64
+	serial uint64
+	do     func()
+}
+
+type coldEvents []coldEvent
+
+func (e coldEvents) Len() int { return len(e) }
+func (e coldEvents) Less(i, k int) bool {
+	return e[i].at < e[k].at || e[i].at == e[k].at && e[i].serial < e[k].serial
+}
+func (e coldEvents) Swap(i, k int) { e[i], e[k] = e[k], e[i] }
+func (e *coldEvents) Push(x any)   { *e = append(*e, x.(coldEvent)) }
+func (e *coldEvents) Pop() any {
+	last := len(*e) - 1
+	x := (*e)[last]
+	*e = (*e)[:last]
+	return x
+}
+
+// capacity is what a warm node can do in a second, in requests of mean work.
+func (p *coldPlan) capacity() float64 {
+	return p.Allowed / (coldMultiple * coldStart * float64(coldSpan) / 1e9)
+}
+
+func (f *coldFleet) settings(me int) *Settings {
+	target := int64(10 * f.light)
+	class := Class{Need: Bounded, Bound: 10 * target, Repeat: Idempotent, Target: target, Deadline: 4 * target, Worth: 1}
+	heavy, write := class, class
+	heavy.Target, heavy.Deadline = 4*target, 16*target
+	write.Need, write.Worth, write.Repeat, write.Window = Write, 3, Deduplicated, 4*target
+	return &Settings{Tick: 5 * ms, MaxAttempts: 3, SecondAttempts: true, Probes: true, AskEvery: 1e10, ConnectTimeout: 250 * ms,
+		KeepAlive: 15e9, DrainGrace: 500 * ms, StartShare: coldStart, ColdFor: coldFor, FallMultiple: coldMultiple,
+		FallSpan: coldSpan, Zone: -1, RoutersTalk: f.Words, Me: me, Classes: []Class{class, heavy, write}}
+}
+
+func newColdFleet(p coldPlan) *coldFleet {
+	f := &coldFleet{coldPlan: p, now: 1e12, chance: rand.New(rand.NewPCG(p.Seed, 41)),
+		mean: coldCores / p.capacity() * 1e9}
+	f.light = f.mean / (1 + p.Heavy*(heavyFactor-1))
+	for n := range coldGroups * coldMembers {
+		f.nodes = append(f.nodes, coldNode{number: n})
+	}
+	weights, total := make([]float64, p.Routers), 0.0
+	for i := range weights {
+		weights[i] = math.Exp(trafficSigma * f.chance.NormFloat64())
+		total += weights[i]
+	}
+	for i := range weights {
+		r := &coldRouter{fleet: f, number: i}
+		r.rate = p.Load * p.capacity() * coldGroups * coldMembers * weights[i] / total
+		f.routers = append(f.routers, r)
+		r.open()
+		r.next()
+	}
+	begin := f.now
+	f.after(coldAt, func() { f.turnCold(begin + coldAt) })
+	return f
+}
+
+// turnCold has nodes start and others fall silent, and tells all routers.
+func (f *coldFleet) turnCold(at int64) {
+	for _, n := range f.Cold {
+		f.nodes[n].started, f.nodes[n].queue = at, nil
+	}
+	for _, n := range f.Gone {
+		f.nodes[n].gone = true
+	}
+	for _, r := range f.routers {
+		f.after(f.chance.Int64N(100*ms), r.list)
+	}
+	if f.Restarts > 0 {
+		f.restartOne()
+	}
+}
+
+// restartOne has a router at random start anew, and the next one later.
+func (f *coldFleet) restartOne() {
+	f.routers[f.chance.IntN(len(f.routers))].open()
+	f.after(f.Restarts, f.restartOne)
+}
+
+// after has something happen after a while.
+func (f *coldFleet) after(span int64, do func()) {
+	f.serial++
+	heap.Push(&f.events, coldEvent{f.now + span, f.serial, do})
+}
+
+// play lets the day pass, and gives the highest sum over routers that a cold node was sent in a span, as a part of
+// what pushes it over, and the part of the requests that were served in time.
+func (f *coldFleet) play() (worst, served float64) {
+	begin := f.now
+	for len(f.events) > 0 && f.events[0].at < begin+coldEnd {
+		e := heap.Pop(&f.events).(coldEvent)
+		f.now = e.at
+		e.do()
+	}
+	for _, n := range f.Cold {
+		worst = max(worst, f.worst(&f.nodes[n]))
+	}
+	return worst, float64(f.served) / float64(f.asked)
+}
+
+// warmth is the part of its capacity that a node has.
+func (n *coldNode) warmth(at int64) float64 {
+	if n.started == 0 || at >= n.started+coldFor {
+		return 1
+	}
+	return coldStart + (1-coldStart)*float64(max(at-n.started, 0))/float64(coldFor)
+}
+
+// worst slides the rule's window over what came to a node while it was cold. What the settings allow then is reckoned
+// from its capacity in the middle of the window, as that rises evenly; before its start it counts as at its start.
+func (f *coldFleet) worst(n *coldNode) (worst float64) {
+	first, sum := 0, 0.0
+	for _, a := range n.arrived {
+		if a.at >= n.started+coldFor {
+			break
+		}
+		sum += a.cost
+		for ; n.arrived[first].at <= a.at-coldSpan; first++ {
+			sum -= n.arrived[first].cost
+		}
+		allowed := f.Allowed * n.warmth(a.at-coldSpan/2) / coldStart
+		worst = max(worst, sum/fallsAt(allowed))
+	}
+	return worst
+}
+
+// fallsAt is the most that a node takes of which the settings allow so many.
+func fallsAt(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
+
+// arrive has an attempt come to a node, which works on it, lets it wait or turns it away.
+func (f *coldFleet) arrive(n *coldNode, work float64, ended func(Outcome)) {
+	if n.gone {
+		return
+	}
+	n.count(f.now, work/f.mean)
+	switch {
+	case n.busy < coldCores:
+		f.work(n, work, ended)
+	case len(n.queue) < coldQueue:
+		n.queue = append(n.queue, func() { f.work(n, work, ended) })
+	default:
+		f.after(oneWay, func() { ended(Full) })
+	}
+}
+
+// work occupies a core of a node for a request, and takes the next one then.
+func (f *coldFleet) work(n *coldNode, work float64, ended func(Outcome)) {
+	n.busy++
+	f.after(int64(work/n.warmth(f.now)), func() {
+		n.busy--
+		f.after(oneWay, func() { ended(Succeeded) })
+		if len(n.queue) > 0 {
+			next := n.queue[0]
+			n.queue = n.queue[1:]
+			next()
+		}
+	})
+}
+
+// count takes into the ledger what comes to a cold node.
+func (n *coldNode) count(now int64, cost float64) {
+	if n.started > 0 {
+		n.arrived = append(n.arrived, coldArrival{now, cost})
+	}
+}
+
+func (n *coldNode) role() Role {
+	if n.number%coldMembers == 0 {
+		return Primary
+	}
+	return Replica
+}
+
+func (f *coldFleet) note(n *coldNode) Note {
+	if n.role() == Primary {
+		return Note{Role: Primary, Position: f.now}
+	}
+	return Note{Role: Replica, Position: f.now - 10*ms}
+}
+
+// open starts a router, or starts it anew: what it had in hand is over then.
+func (r *coldRouter) open() {
+	f := r.fleet
+	r.life++
+	r.jobs, r.connections, r.out = map[Place]*coldJob{}, make([]int, len(f.nodes)), make([]int, len(f.nodes))
+	r.router = Open(f.settings(r.number), f.chance.Uint64(), r, f.now)
+	r.list()
+}
+
+// list tells the router the whole list.
+func (r *coldRouter) list() {
+	r.router.Listing(true)
+	for i := range r.fleet.nodes {
+		n := &r.fleet.nodes[i]
+		r.router.Member(r.fleet.now, i, i/coldMembers, 0, uint32(i), In, 1, n.started, n.role() == Primary)
+	}
+	r.router.Listed(r.fleet.now)
+}
+
+// next takes a request in, and has the next one come.
+func (r *coldRouter) next() {
+	f := r.fleet
+	rate := r.rate
+	if f.Burst > 0 && f.nodes[f.Cold[0]].started > 0 {
+		rate *= f.Burst
+	}
+	f.after(int64(f.chance.ExpFloat64()/rate*1e9), r.next)
+	j := &coldJob{group: f.chance.IntN(coldGroups), work: f.light * min(5, f.chance.ExpFloat64())}
+	if f.chance.Float64() < writePart {
+		j.class = 2
+	} else if f.chance.Float64() < f.Heavy/(1-writePart) {
+		j.class, j.work = 1, j.work*heavyFactor
+	}
+	f.asked++
+	r.take(j)
+}
+
+func (r *coldRouter) take(j *coldJob) {
+	p := r.router.Reserve()
+	j.began, j.attempts, j.over = r.fleet.now, 0, false
+	r.jobs[p] = j
+	target := int64(40 * r.fleet.light)
+	if j.class == 1 {
+		target *= 4
+	}
+	r.router.Accept(r.fleet.now, p, j.class, j.group, target, 0, &Terms{})
+}
+
+// Submit sends an attempt, over a connection of its own.
+func (r *coldRouter) Submit(p Place, node int, until int64) {
+	f, j, life := r.fleet, r.jobs[p], r.life
+	n, leg, sent := &f.nodes[node], j.attempts, f.now
+	j.attempts++
+	if r.out[node]++; r.out[node] > r.connections[node] {
+		r.connections[node]++
+		n.count(f.now, connectionCost)
+	}
+	ended := false
+	end := func(e Outcome) {
+		if ended || r.life != life {
+			return
+		}
+		ended = true
+		r.out[node]--
+		settled := e == Succeeded && !j.over
+		if settled {
+			j.over = true
+			f.served++
+		}
+		note := Note{}
+		if e == Succeeded {
+			note = f.note(n)
+		}
+		r.router.Ended(f.now, p, leg, e, settled, f.now-sent, note, Report{Held: -1})
+	}
+	f.after(until-f.now, func() { end(TimedOut) })
+	f.after(oneWay, func() { f.arrive(n, j.work, end) })
+}
+
+// Reject answers a request; its client may ask again.
+func (r *coldRouter) Reject(p Place, _ int64) {
+	f, j := r.fleet, r.jobs[p]
+	j.over = true
+	if j.tries++; j.tries <= 3 && f.chance.Float64() < askAgainPart {
+		again := *j
+		f.after(100*ms+f.chance.Int64N(200*ms), func() { r.take(&again) })
+	}
+}
+
+func (r *coldRouter) Fail(p Place)               { r.jobs[p].over = true }
+func (r *coldRouter) Grant(Place, bool) bool     { return true }
+func (r *coldRouter) Cancel(Place, int)          {}
+func (r *coldRouter) Vacate(p Place)             { delete(r.jobs, p) }
+func (r *coldRouter) Watch()                     {}
+func (r *coldRouter) Lookup()                    {}
+func (r *coldRouter) Release(int)                {}
+func (r *coldRouter) Log(node int, words string) {}
+
+// Alarm wakes the router, unless it is set anew or the router starts anew before.
+func (r *coldRouter) Alarm(after int64) {
+	r.alarm++
+	mine, life := r.alarm, r.life
+	r.fleet.after(after, func() {
+		if r.alarm == mine && r.life == life {
+			r.router.Wake(r.fleet.now)
+		}
+	})
+}
+
+// Probe asks a node for its report.
+func (r *coldRouter) Probe(node int) {
+	f, life := r.fleet, r.life
+	n := &f.nodes[node]
+	n.count(f.now, probeCost)
+	f.after(2*oneWay, func() {
+		if r.life != life {
+			return
+		}
+		note := f.note(n)
+		rep := Report{Given: !n.gone, Position: note.Position, Role: note.Role, Held: float64(n.busy + len(n.queue)),
+			Busy: float64(n.busy) / coldCores}
+		r.router.Probed(f.now, node, !n.gone, rep)
+	})
+}
+
+// Tell brings words to another router or to all others.
+func (r *coldRouter) Tell(to int, words []byte) {
+	text := append([]byte(nil), words...)
+	for _, o := range r.fleet.routers {
+		if o != r && (to < 0 || o.number == to) {
+			r.fleet.after(oneWay, func() { o.router.Heard(r.fleet.now, r.number, text) })
+		}
+	}
+}
