--- a/internal/descriptors/descriptors.go
+++ b/internal/descriptors/descriptors.go
@@ -41,17 +41,22 @@
 // Dial connects to a TCP address within the time given.
 func (d *Dialer) Dial(ctx context.Context, address string) (net.Conn, error) {
 	var dialer net.Dialer
+	var exhausted error
 	for try := 1; ; try++ {
 		conn, err := dialer.DialContext(ctx, "tcp", address)
+		if err != nil && exhausted != nil && ctx.Err() != nil {
+			return nil, exhausted // and not that time is over
+		}
 		if err == nil || !IsExhausted(err) || try == dialTries {
 			return conn, err
 		}
+		exhausted = err
 		if d != nil && d.MakeRoom != nil {
 			d.MakeRoom()
 		}
 		select {
 		case <-ctx.Done():
-			return nil, err // that no descriptor was left, and not that time is over
+			return nil, exhausted
 		case <-time.After(dialPause):
 		}
 	}
