--- a/internal/dispatch/dispatch_test.go
+++ b/internal/dispatch/dispatch_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"slices"
 	"testing"
 	"time"
 
@@ -147,3 +148,23 @@
 		t.Error("a position is not told on")
 	}
 }
+
+// What planners are told of the list is the same for as long as nothing changes: routers report again only what is news.
+func TestNoticesKeepTheirOrder(t *testing.T) {
+	d := Open(&settings.Settings{Settings: balance.Settings{Classes: []balance.Class{{Target: 1e8, Worth: 1}}}}, 1, nowhere{}, zap.NewNop())
+	d.Planned()
+	var rows []Server
+	for i := range 100 {
+		rows = append(rows, Server{ID: fmt.Sprintf("s-%02d", i), Address: "127.0.0.1:1", Weight: 1})
+	}
+	d.List(1, true, rows)
+	first := d.Notices()
+	if len(first) != len(rows) {
+		t.Fatalf("%d notices of %d servers", len(first), len(rows))
+	}
+	for range 20 {
+		if !slices.Equal(first, d.Notices()) {
+			t.Fatal("the order changes from call to call")
+		}
+	}
+}
--- a/internal/dispatch/planned.go
+++ b/internal/dispatch/planned.go
@@ -1,7 +1,9 @@
 package dispatch
 
 import (
+	"cmp"
 	"hash/crc32"
+	"slices"
 
 	"go.uber.org/zap"
 
@@ -17,11 +19,12 @@
 	d.board, d.rows = plan.NewBoard(), map[string]Server{}
 }
 
-// Notices are the newest words on all nodes.
+// Notices are the newest words on all nodes, ordered by node: a report in which nothing has changed is the same bytes.
 func (d *Dispatcher) Notices() (ns []plan.Notice) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.board.Each(func(n plan.Notice) { ns = append(ns, n) })
+	slices.SortFunc(ns, func(a, b plan.Notice) int { return cmp.Compare(a.Node, b.Node) })
 	return ns
 }
 
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -1,4 +1,4 @@
-// Package intake is where clients come in: the listener, their connections, and the answers to them.
+// Package frontend is where clients come in: the listener, their connections, and the answers to them.
 package frontend
 
 import (
