--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -62,6 +62,9 @@
 	live  []string // planners that it believes in
 	heard int64
 
+	told    *delta
+	reports chan *message.Report // to be written, in their order
+
 	said   int64  // when it was last reported to
 	loaded bool   // of any attempts
 	news   uint64 // hash of what the report said but for asks
@@ -139,7 +142,7 @@
 	if err != nil {
 		return err
 	}
-	l := &link{Conn: message.On(sock), heard: s.desk.Now()}
+	l := &link{Conn: message.On(sock), heard: s.desk.Now(), told: newDelta(), reports: make(chan *message.Report, 1)}
 	defer sock.Close()
 	if err := l.Write(&message.Word{Hello: &message.Hello{Version: message.Version, Kind: message.Forwarder, Name: s.post.Name, Life: s.life}}, s.post.Term); err != nil {
 		return err
@@ -158,6 +161,13 @@
 	s.links[name] = l
 	s.mu.Unlock()
 	s.log.Info("planner", zap.String("planner", name))
+	over := make(chan struct{})
+	defer close(over)
+	s.tasks.Add(1)
+	go func() {
+		defer s.tasks.Done()
+		l.writeReports(s.post.Period, over)
+	}()
 	defer func() {
 		s.mu.Lock()
 		delete(s.links, name)
@@ -177,6 +187,21 @@
 	}
 }
 
+// writeReports writes reports in their order until the connection is over. One that is not taken within a period ends it.
+func (l *link) writeReports(period time.Duration, over <-chan struct{}) {
+	for {
+		select {
+		case <-over:
+			return
+		case r := <-l.reports:
+			if l.Write(&message.Word{Report: r}, period) != nil {
+				l.Sock.Close()
+				return
+			}
+		}
+	}
+}
+
 // answer takes in a planner's word.
 func (s *Links) answer(name string, l *link, a *message.Answer) {
 	s.desk.ApplyNotices(a.Notices)
@@ -272,15 +297,13 @@
 			continue
 		}
 		l.said, l.news, l.loaded = now, news, len(loads) > 0 // that there is no load any more is told once
-		mine := r
+		mine := l.told.next(r)
 		mine.Asks, mine.Loads = asks[name], loads
-		s.tasks.Add(1)
-		go func() { // each is written within a period or its connection ends, so these don't pile up
-			defer s.tasks.Done()
-			if l.Write(&message.Word{Report: &mine}, s.post.Period) != nil {
-				l.Sock.Close()
-			}
-		}()
+		select {
+		case l.reports <- &mine:
+		default: // the planner has not taken the two before it
+			l.Sock.Close()
+		}
 	}
 }
 
--- a/internal/message/message.go
+++ b/internal/message/message.go
@@ -21,7 +21,7 @@
 )
 
 // Version is that of the words. Another one ends the connection.
-const Version = 2
+const Version = 3
 
 // Bounds of a frame.
 const (
@@ -62,13 +62,16 @@
 	Life    plan.Life `msgpack:"l"`
 }
 
-// Report is what a forwarder says, once a period.
+// Report is what a forwarder says, once a period at most. Notices and beliefs are those that have changed since the report before
+// over the same connection.
 type Report struct {
-	Asks    []NodeAsk          `msgpack:"a,omitempty"`
-	Saw     []NodeSaw          `msgpack:"s,omitempty"`
-	Notices []plan.Notice      `msgpack:"n,omitempty"` // of its own list
-	Beliefs []Belief           `msgpack:"b,omitempty"` // for operators
-	Loads   []loadsum.NodeLoad `msgpack:"l,omitempty"` // of its own attempts, since the report before
+	Whole     bool               `msgpack:"w,omitempty"` // the first of a connection: what was told before counts no more
+	Forgotten []string           `msgpack:"f,omitempty"` // nodes of which it believes nothing any more
+	Asks      []NodeAsk          `msgpack:"a,omitempty"`
+	Saw       []NodeSaw          `msgpack:"s,omitempty"`
+	Notices   []plan.Notice      `msgpack:"n,omitempty"` // of its own list
+	Beliefs   []Belief           `msgpack:"b,omitempty"` // for operators
+	Loads     []loadsum.NodeLoad `msgpack:"l,omitempty"` // of its own attempts, since the report before
 }
 
 // NodeAsk asks for a lease of a node.
@@ -176,7 +179,10 @@
 		}
 	}
 	if r := w.Report; r != nil {
-		errs = append(errs, count("asks", len(r.Asks)), count("sights", len(r.Saw)), count("beliefs", len(r.Beliefs)))
+		errs = append(errs, count("asks", len(r.Asks)), count("sights", len(r.Saw)), count("beliefs", len(r.Beliefs)), count("forgotten nodes", len(r.Forgotten)))
+		for _, node := range r.Forgotten {
+			errs = append(errs, name(node))
+		}
 		notices(r.Notices)
 		if len(r.Loads) > loadsum.MaxNodeLoads {
 			errs = append(errs, fmt.Errorf("words: loads of %d nodes", len(r.Loads)))
--- /dev/null
+++ b/internal/planner/beliefs_test.go
@@ -0,0 +1,28 @@
+package planner
+
+import (
+	"slices"
+	"testing"
+
+	"sedgestream/internal/message"
+)
+
+// What reports tell piece by piece adds up to what the forwarder believes; a whole one begins anew.
+func TestBeliefsAddUp(t *testing.T) {
+	f := &forwarder{name: "f0"}
+	for i, c := range []struct {
+		report message.Report
+		want   []message.Belief
+	}{
+		{message.Report{Whole: true, Beliefs: []message.Belief{{Node: "c"}, {Node: "a"}, {Node: "b"}}}, []message.Belief{{Node: "a"}, {Node: "b"}, {Node: "c"}}},
+		{message.Report{}, []message.Belief{{Node: "a"}, {Node: "b"}, {Node: "c"}}},
+		{message.Report{Beliefs: []message.Belief{{Node: "b", Aside: true}}}, []message.Belief{{Node: "a"}, {Node: "b", Aside: true}, {Node: "c"}}},
+		{message.Report{Forgotten: []string{"a", "never told"}, Beliefs: []message.Belief{{Node: "bb"}}}, []message.Belief{{Node: "b", Aside: true}, {Node: "bb"}, {Node: "c"}}},
+		{message.Report{Whole: true, Beliefs: []message.Belief{{Node: "d"}}}, []message.Belief{{Node: "d"}}},
+	} {
+		f.update(int64(i), &c.report)
+		if !slices.Equal(f.beliefs, c.want) || f.at != int64(i) {
+			t.Errorf("report %d: %+v at %d, want %+v", i, f.beliefs, f.at, c.want)
+		}
+	}
+}
--- a/internal/planner/planner.go
+++ b/internal/planner/planner.go
@@ -73,13 +73,6 @@
 	at     int64
 }
 
-// forwarder is what one last said.
-type forwarder struct {
-	name    string
-	at      int64
-	beliefs []message.Belief
-}
-
 // conn is a connection with whoever asks.
 type conn struct {
 	*message.Conn
@@ -309,7 +302,12 @@
 func (s *Planner) take(c *conn, w *message.Word) error {
 	switch {
 	case w.Report != nil && c.hello.Kind == message.Forwarder:
-		return c.Write(&message.Word{Answer: s.report(c, w.Report)}, s.post.Term)
+		answer, err := s.report(c, w.Report)
+		if err != nil {
+			c.Bye(err)
+			return err
+		}
+		return c.Write(&message.Word{Answer: answer}, s.post.Term)
 	case w.Gossip != nil && c.hello.Kind == message.Planner:
 		s.mu.Lock()
 		defer s.mu.Unlock()
@@ -359,12 +357,20 @@
 }
 
 // report takes in what a forwarder says and answers its asks.
-func (s *Planner) report(c *conn, r *message.Report) *message.Answer {
+func (s *Planner) report(c *conn, r *message.Report) (*message.Answer, error) {
 	holds := s.member.Holds()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.now()
-	s.forwarders[c.hello.Life] = &forwarder{c.hello.Name, now, r.Beliefs}
+	f := s.forwarders[c.hello.Life]
+	if f == nil && !r.Whole {
+		return nil, errForgotten
+	}
+	if f == nil {
+		f = &forwarder{name: c.hello.Name}
+		s.forwarders[c.hello.Life] = f
+	}
+	f.update(now, r)
 	s.posted(r.Notices)
 	for _, v := range r.Saw {
 		was := v.Failed && s.failures.Condemned(now, v.Node)
@@ -396,7 +402,7 @@
 		s.loads.Heard(now, uint64(c.hello.Life), r.Loads)
 		a.Digest = s.loads.Digest(now, s.member.Routers())
 	}
-	return a
+	return a, nil
 }
 
 // condemned are the nodes that all are to leave alone.
@@ -437,7 +443,7 @@
 		return 1
 	})
 	for _, f := range s.forwarders {
-		v.Forwarders = append(v.Forwarders, message.ForwarderBelief{Name: f.name, Ago: now - f.at, Beliefs: f.beliefs})
+		v.Forwarders = append(v.Forwarders, message.ForwarderBelief{Name: f.name, Ago: now - f.at, Beliefs: slices.Clone(f.beliefs)})
 	}
 	slices.SortFunc(v.Forwarders, func(a, b message.ForwarderBelief) int {
 		if a.Name < b.Name {
