--- a/internal/lab/capacity/rows.go
+++ b/internal/lab/capacity/rows.go
@@ -63,7 +63,7 @@
 			{"CPU with 2,000 statements a second", "ms/s", "", nil, t.RouterCPU, usual},
 			{"memory with 2,000 statements a second", "MB", "", nil, t.RouterMemory, usual},
 		}},
-		{"Planner", "Board of nodes, the last report and beliefs of each router, pools of leases, the jury's voices, sums of loads; nothing of it outlives the process.", []Row{
+		{"Planner", "Board of nodes, the last report and beliefs of each router, pools of leases, votes of the failure quorum, sums of loads; nothing of it outlives the process.", []Row{
 			{"CPU, no traffic", "ms/s", CPU, []string{plannersSeries}, t.RouterCPU, ours},
 			{"memory, no traffic", "MB", Memory, []string{plannersSeries}, 0, ""},
 			{"descriptors", "", Descriptors, []string{plannersSeries}, t.PlannerConn, "tier's usual connections"},
--- a/internal/lab/fleet/rig.go
+++ b/internal/lab/fleet/rig.go
@@ -11,6 +11,7 @@
 	"os/exec"
 	"path/filepath"
 	"slices"
+	"strconv"
 	"strings"
 	"sync"
 	"sync/atomic"
@@ -141,10 +142,9 @@
 	r := &Rig{Plan: p, serial: rigs.Add(1), Net: link.New(p.Seed, who), t: t, stop: make(chan struct{}), on: map[int]*day.Fault{}, between: map[int][]*link.Relay{}, drained: map[int]map[string]time.Time{}, version: 7}
 	t.Cleanup(r.Close)
 	for n := range p.Planners {
-		l, err := net.Listen("tcp", ip(n).String()+":0")
+		address, err := freeAddress(ip(n))
 		r.must(err)
-		r.planners = append(r.planners, l.Addr().String())
-		l.Close()
+		r.planners = append(r.planners, address)
 	}
 	for n := range p.Planners + p.Routers {
 		r.procs = append(r.procs, r.prepare(n, ""))
@@ -176,6 +176,32 @@
 	return r
 }
 
+// Ports of planners lie below those that the system gives to whoever asks for any, and each is given once: a planner that starts
+// finds its port free, though other rigs of this process have the same addresses.
+const (
+	firstPort = 10000
+	lastPort  = 30000
+)
+
+// portsGiven counts them.
+var portsGiven atomic.Int64
+
+// freeAddress is one at which nobody listens, for a process that is to start.
+func freeAddress(ip net.IP) (string, error) {
+	var failed error
+	for range lastPort - firstPort {
+		port := firstPort + int(portsGiven.Add(1)-1)%(lastPort-firstPort)
+		address := net.JoinHostPort(ip.String(), strconv.Itoa(port))
+		l, err := net.Listen("tcp", address)
+		if err == nil {
+			l.Close()
+			return address, nil
+		}
+		failed = err
+	}
+	return "", failed
+}
+
 func (r *Rig) must(err error) {
 	if err != nil {
 		r.t.Fatal(err)
