--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -67,6 +67,11 @@
 func (l *Client) Move(address string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
+	l.move(address)
+}
+
+// move is Move for a caller that holds the lock.
+func (l *Client) move(address string) {
 	if l.at == nil || l.at.address == address {
 		return
 	}
--- a/internal/discovery/told_test.go
+++ b/internal/discovery/told_test.go
@@ -426,3 +426,27 @@
 		t.Errorf("an old list was taken: %v", nodes)
 	}
 }
+
+// A change that the old watch has brought as the address moves counts as told, so it is taken in though the new address does
+// not answer yet.
+func TestChangeAsTheAddressMoves(t *testing.T) {
+	old, next := newDiscovery(t), newDiscovery(t)
+	l, _, nodes, _ := newLister(t, old.l.Addr().String())
+	began(l.Watch)
+	sock := old.call("?stream=1&index=7", streamHead+listOf(8, "up")+"\n\n")
+	known := func(id string) bool {
+		l.mu.Lock()
+		defer l.mu.Unlock()
+		return nodes[id] != ""
+	}
+	until(t, "the first list", func() bool { return known("s-1") })
+	l.mu.Lock() // the change is read, and not taken in before the address has moved
+	io.WriteString(sock, strings.Replace(listOf(9, "up"), `"s-1"`, `"s-9"`, 1)+"\n")
+	time.Sleep(200 * time.Millisecond)
+	l.move(next.l.Addr().String())
+	l.mu.Unlock()
+	time.Sleep(200 * time.Millisecond)
+	if !known("s-9") {
+		t.Error("the change was dropped")
+	}
+}
